--- a/src/core/dispatch.c
+++ b/src/core/dispatch.c
@@ -1,26 +1,26 @@
 /**
  * @file dispatch.c
- * @brief Requests from their begin to their end.
+ * @brief Life cycle of a request from its acceptance to its end.
  *
- * A request is queued, in flight at one server, or gone. Whoever gives one
- * up answers it in the same step: an answer held back until the deadline
- * would only hide the overload from the caller.
+ * A request is queued, in flight at one server, or gone. A request that is
+ * given up is answered in the same step: an answer delayed until the deadline
+ * would hide the overload from the caller.
  */
 #include <stdlib.h>
 #include <string.h>
 
 #include "core/dispatch_state.h"
 
-/* Queues, deadlines and headroom are looked at this often. */
+/* Interval at which queues, deadlines and headroom are processed. */
 #define TICK_MS 20
-/* The views of servers and neighbours are renewed this often. */
+/* Interval at which the views of servers and neighbours are refreshed. */
 #define REFRESH_MS 100
 #define DEFAULT_BATCH_MOST 256
 
 static jj_entry_t *
 add_entry(jj_dispatch_t *, const jj_request_t *, jj_service_queue_t *);
-static void take_first(jj_entry_t *, jj_ms_t);
-static void take_tokens(jj_entry_t *, uint32_t, jj_ms_t);
+static void note_first_token(jj_entry_t *, jj_ms_t);
+static void note_tokens(jj_entry_t *, uint32_t, jj_ms_t);
 static void finish(jj_dispatch_t *, jj_entry_t *, bool, jj_ms_t);
 
 jj_dispatch_t *
@@ -39,7 +39,7 @@
 	dispatch->member = member;
 	dispatch->quarantine = quarantine;
 	dispatch->random = settings->seed;
-	dispatch->told_all = true;
+	dispatch->loads_reported = true;
 	TAILQ_INIT(&dispatch->services);
 	TAILQ_INIT(&dispatch->entries);
 	for (i = 0; i < BUCKETS; i++)
@@ -104,7 +104,7 @@
 			jj_dispatch_begin_batch(dispatch, entry, now, out);
 		else
 			jj_dispatch_begin_online(dispatch, entry, now, out);
-		jj_dispatch_tell_loads(dispatch, now, out);
+		jj_dispatch_report_loads(dispatch, now, out);
 	}
 }
 
@@ -116,8 +116,9 @@
 	jj_service_queue_t *service;
 
 	/*
-	 * The late answer of an earlier attempt must not end a newer one
-	 * (story 18): only the newest attempt, while in flight, is heard.
+	 * A late answer of an earlier attempt must not end a newer one (story
+	 * 18): only events of the newest attempt count, and only while it is in
+	 * flight.
 	 */
 	if (entry == NULL || entry->state != JJ_ENTRY_IN_FLIGHT ||
 	    entry->attempt != event->attempt)
@@ -126,10 +127,10 @@
 	entry->relayed |= event->relayed;
 	switch (event->kind) {
 	case JJ_BACKEND_FIRST:
-		take_first(entry, now);
+		note_first_token(entry, now);
 		return;
 	case JJ_BACKEND_TOKENS:
-		take_tokens(entry, event->tokens, now);
+		note_tokens(entry, event->tokens, now);
 		return;
 	case JJ_BACKEND_DONE:
 		finish(dispatch, entry, true, now);
@@ -142,7 +143,7 @@
 			finish(dispatch, entry, false, now);
 		break;
 	case JJ_BACKEND_CANCELLED:
-		jj_dispatch_leave_server(dispatch, entry);
+		jj_dispatch_release_slot(dispatch, entry);
 		entry->may_have_run = true;
 		jj_dispatch_give_up(
 		    dispatch, entry, JJ_GIVE_UP_CANCELLED, now, out);
@@ -152,7 +153,7 @@
 		break;
 	}
 	jj_dispatch_pump(dispatch, service, now, out);
-	jj_dispatch_tell_loads(dispatch, now, out);
+	jj_dispatch_report_loads(dispatch, now, out);
 }
 
 void
@@ -167,13 +168,14 @@
 	service = entry->service;
 	jj_dispatch_give_up(dispatch, entry, JJ_GIVE_UP_CANCELLED, now, out);
 	jj_dispatch_pump(dispatch, service, now, out);
-	jj_dispatch_tell_loads(dispatch, now, out);
+	jj_dispatch_report_loads(dispatch, now, out);
 }
 
 /*
- * A request that kills each server it runs on comes back with its retries
- * (story 27). All that were in flight are suspects: the quarantine counts
- * the death against each once, and from then on they run one per server.
+ * A request that crashes each server it runs on is sent to the next one by its
+ * retries (story 27). All requests in flight at the server are suspects: the
+ * quarantine counts the crash once against each, and from then on a server runs
+ * one suspect at a time.
  */
 void
 jj_dispatch_take_crash(jj_dispatch_t *dispatch, const jj_name_t *server,
@@ -187,10 +189,10 @@
 	jj_entry_t *entry;
 	jj_entry_t *next;
 	uint32_t count;
-	bool is_news;
+	bool changed;
 
 	jj_fleet_note(
-	    dispatch->fleet, server, JJ_SERVER_DOWN, boot, now, out, &is_news);
+	    dispatch->fleet, server, JJ_SERVER_DOWN, boot, now, out, &changed);
 	if (view == NULL)
 		return;
 	view->up = false;
@@ -199,7 +201,7 @@
 	jj_dispatch_report_crash(
 	    dispatch, view, boot, suspects, count, now, out);
 	view->broken_count = 0;
-	jj_dispatch_end_look(dispatch, view, true, now);
+	jj_dispatch_end_probe_wait(dispatch, view, true, now);
 	for (entry = TAILQ_FIRST(&dispatch->entries); entry != NULL;
 	     entry = next) {
 		next = TAILQ_NEXT(entry, all_link);
@@ -208,7 +210,7 @@
 			    dispatch, entry, &broken, now, out);
 	}
 	jj_dispatch_pump(dispatch, service, now, out);
-	jj_dispatch_tell_loads(dispatch, now, out);
+	jj_dispatch_report_loads(dispatch, now, out);
 }
 
 void
@@ -219,9 +221,9 @@
 	jj_server_view_t *view =
 	    jj_dispatch_find_view(dispatch, server, &service);
 
-	if (view == NULL || !view->awaited)
+	if (view == NULL || !view->probe_awaited)
 		return;
-	jj_dispatch_end_look(dispatch, view, false, now);
+	jj_dispatch_end_probe_wait(dispatch, view, false, now);
 	jj_dispatch_pump(dispatch, service, now, out);
 }
 
@@ -234,7 +236,7 @@
 
 	if (jj_name_equal(from, &dispatch->settings.name))
 		return;
-	/* The word of one that leaves counts until the next look only. */
+	/* Loads of a VM that is leaving count only until the next refresh. */
 	if (!jj_member_is_live(dispatch->member, from))
 		dispatch->views_stale = true;
 	for (i = 0; i < count; i++) {
@@ -242,7 +244,7 @@
 		if (view != NULL)
 			jj_server_view_take_load(view, from, &loads[i]);
 	}
-	/* Batch has to give way now, not at the next tick. */
+	/* Batch items must be cancelled now, not at the next tick. */
 	dispatch->next_ms = now;
 }
 
@@ -254,7 +256,7 @@
 	jj_server_view_t *view =
 	    jj_dispatch_find_view(dispatch, server, &service);
 
-	/* An old report says nothing about what runs now. */
+	/* An old report says nothing about the current load. */
 	if (view != NULL && (waiting == 0 || age_ms <= REFRESH_MS))
 		jj_headroom_note_report(
 		    &view->headroom, running, waiting, now - age_ms);
@@ -283,7 +285,7 @@
 	jj_dispatch_adjust_headroom(dispatch, now, out);
 	TAILQ_FOREACH(service, &dispatch->services, link)
 	jj_dispatch_pump(dispatch, service, now, out);
-	jj_dispatch_tell_loads(dispatch, now, out);
+	jj_dispatch_report_loads(dispatch, now, out);
 }
 
 jj_ms_t
@@ -296,11 +298,11 @@
 jj_dispatch_batch_room(const jj_dispatch_t *dispatch, jj_ms_t now)
 {
 	const jj_service_queue_t *service;
-	uint32_t room = 0;
+	uint32_t capacity = 0;
 
 	TAILQ_FOREACH(service, &dispatch->services, link)
-	room += jj_dispatch_service_room(dispatch, &service->name, now);
-	return room;
+	capacity += jj_dispatch_service_capacity(dispatch, &service->name, now);
+	return capacity;
 }
 
 bool
@@ -349,21 +351,21 @@
 			continue;
 		shares[count].service = service->name;
 		shares[count].limit = running +
-		    jj_dispatch_service_room(dispatch, &service->name, now);
+		    jj_dispatch_service_capacity(dispatch, &service->name, now);
 		count++;
 	}
 	return count;
 }
 
 uint32_t
-jj_dispatch_service_room(
+jj_dispatch_service_capacity(
     const jj_dispatch_t *dispatch, const jj_name_t *name, jj_ms_t now)
 {
 	const jj_service_queue_t *service;
 	const jj_server_view_t *view;
 	jj_headroom_use_t base;
 	jj_headroom_use_t use;
-	uint32_t room = 0;
+	uint32_t capacity = 0;
 
 	if (dispatch->leaving)
 		return 0;
@@ -379,10 +381,11 @@
 			if (!view->steward || !jj_server_view_is_up(view, now))
 				continue;
 			use = jj_server_view_use(view, &base);
-			room += jj_headroom_room(&view->headroom, &use, now);
+			capacity +=
+			    jj_headroom_free_slots(&view->headroom, &use, now);
 		}
 	}
-	return room;
+	return capacity;
 }
 
 void
@@ -410,7 +413,7 @@
 	return NULL;
 }
 
-/* The entry is in no queue and at no server any more. */
+/* The entry must be neither queued nor in flight. */
 void
 jj_dispatch_free_entry(jj_dispatch_t *dispatch, jj_entry_t *entry)
 {
@@ -443,7 +446,7 @@
 
 	use.slots = service->settings.server_slots;
 	use.trade = service->settings.trade;
-	use.batch_most = dispatch->settings.batch_most;
+	use.batch_max = dispatch->settings.batch_most;
 	return use;
 }
 
@@ -470,18 +473,18 @@
 }
 
 static void
-take_first(jj_entry_t *entry, jj_ms_t now)
+note_first_token(jj_entry_t *entry, jj_ms_t now)
 {
 	entry->may_have_run = true;
 	entry->token_ms = now;
 	entry->tokens++;
 	if (entry->team == NULL && !entry->resuming)
-		jj_headroom_add_first(
+		jj_headroom_add_first_token(
 		    &entry->server->headroom, now - entry->sent_ms);
 }
 
 static void
-take_tokens(jj_entry_t *entry, uint32_t tokens, jj_ms_t now)
+note_tokens(jj_entry_t *entry, uint32_t tokens, jj_ms_t now)
 {
 	if (tokens == 0)
 		return;
@@ -496,13 +499,13 @@
 finish(jj_dispatch_t *dispatch, jj_entry_t *entry, bool done, jj_ms_t now)
 {
 	jj_server_view_note_outcome(entry->server, false);
-	/* It ran to its end without harm: no suspect any more. */
+	/* It completed without a crash: it is no longer a suspect. */
 	if (entry->suspect && done)
 		jj_quarantine_clear(
 		    dispatch->quarantine, entry->request.fingerprint);
 	if (entry->team != NULL && done)
 		jj_service_queue_note_finished(
 		    entry->service, now - entry->sent_ms, now);
-	jj_dispatch_leave_server(dispatch, entry);
+	jj_dispatch_release_slot(dispatch, entry);
 	jj_dispatch_free_entry(dispatch, entry);
 }
--- a/src/core/dispatch_answer.c
+++ b/src/core/dispatch_answer.c
@@ -1,15 +1,14 @@
 /**
  * @file dispatch_answer.c
- * @brief Answers of our own: what they say about the run and when to
- * come back.
+ * @brief Error answers: whether the request ran, and the Retry-After time.
  */
 #include "core/dispatch_state.h"
 
-/* Bounds of the time after which a caller is told to come back. */
-#define RETRY_AFTER_LEAST_MS 100
-#define RETRY_AFTER_MOST_MS 60000
+/* Bounds of Retry-After, and its value when the wait is not known. */
+#define RETRY_AFTER_MIN_MS 100
+#define RETRY_AFTER_MAX_MS 60000
 #define RETRY_AFTER_UNKNOWN_MS 1000
-/* A VM that leaves sends callers to the others at once. */
+/* A VM that is stopping sends callers to other VMs at once. */
 #define RETRY_AFTER_STOPPING_MS 50
 
 static jj_ms_t jitter(jj_dispatch_t *, jj_ms_t);
@@ -29,7 +28,6 @@
 	    retry_after(dispatch, NULL, reason, now);
 }
 
-/* Ends a request, queued or in flight, with an answer of our own. */
 void
 jj_dispatch_give_up(jj_dispatch_t *dispatch, jj_entry_t *entry,
     jj_give_up_t reason, jj_ms_t now, jj_actions_t *out)
@@ -41,7 +39,7 @@
 		action->body.cancel.request = entry->request.request;
 		action->body.cancel.attempt = entry->attempt;
 		entry->may_have_run = true;
-		jj_dispatch_leave_server(dispatch, entry);
+		jj_dispatch_release_slot(dispatch, entry);
 	} else if (entry->state == JJ_ENTRY_QUEUED)
 		jj_service_queue_remove(entry->service, entry);
 	action = jj_actions_add(out, JJ_ACTION_ANSWER);
@@ -51,13 +49,16 @@
 	    entry->may_have_run ? JJ_RUN_UNKNOWN : JJ_RUN_NOT_RUN;
 	action->body.answer.retry_after_ms =
 	    retry_after(dispatch, entry, reason, now);
-	/* Asking a non-idempotent request again could run it twice. */
+	/* A retry of a non-idempotent request could run it twice. */
 	if (entry->may_have_run && !entry->request.idempotent)
 		action->body.answer.retry_after_ms = 0;
 	jj_dispatch_free_entry(dispatch, entry);
 }
 
-/* Between one and one and a half times: callers shall not come together. */
+/*
+ * A random time from 1.0 to 1.5 times @p ms, so that callers do not all return
+ * at the same moment.
+ */
 static jj_ms_t
 jitter(jj_dispatch_t *dispatch, jj_ms_t ms)
 {
@@ -66,7 +67,10 @@
 	return ms + (jj_ms_t)(dispatch->random % ((uint64_t)ms / 2 + 1));
 }
 
-/* When asking again makes sense: from the rate at which the queue drains. */
+/*
+ * Time after which a retry is likely to succeed, from the rate at which the
+ * queue drains.
+ */
 static jj_ms_t
 retry_after(jj_dispatch_t *dispatch, const jj_entry_t *entry,
     jj_give_up_t reason, jj_ms_t now)
@@ -95,9 +99,9 @@
 	}
 	if (wait == JJ_MS_NEVER)
 		wait = RETRY_AFTER_UNKNOWN_MS;
-	if (wait < RETRY_AFTER_LEAST_MS)
-		wait = RETRY_AFTER_LEAST_MS;
-	if (wait > RETRY_AFTER_MOST_MS)
-		wait = RETRY_AFTER_MOST_MS;
+	if (wait < RETRY_AFTER_MIN_MS)
+		wait = RETRY_AFTER_MIN_MS;
+	if (wait > RETRY_AFTER_MAX_MS)
+		wait = RETRY_AFTER_MAX_MS;
 	return jitter(dispatch, wait);
 }
--- a/src/core/dispatch_failure.c
+++ b/src/core/dispatch_failure.c
@@ -1,22 +1,25 @@
 /**
  * @file dispatch_failure.c
- * @brief Failed attempts, retries, and servers that died.
+ * @brief Failed attempts, retries and crashed servers.
  */
 #include <string.h>
 
 #include "core/dispatch_state.h"
 
-/* A death is noticed and told within this. */
-#define CRASH_WAIT_MS 500
-/* News of a death is with all VMs, also abroad, after so long. */
-#define CRASH_SPREAD_MS 30
+/* A server crash is detected and reported to this VM within this time. */
+#define CRASH_DETECTION_MS 500
+/* A crash report reaches all VMs, also in other domains, within this time. */
+#define CRASH_PROPAGATION_MS 30
 #define DEFAULT_ATTEMPTS 3
-/* A server's own Retry-After is believed up to this. */
-#define REST_MOST_MS 5000
-/* A refusal without Retry-After rests the server for so long. */
-#define REST_LEAST_MS 50
-/* A connection that broke this long before a crash is part of it. */
-#define BROKEN_MEMORY_MS 10000
+/* Upper bound for a server's own Retry-After. */
+#define COOLDOWN_MAX_MS 5000
+/* Cool-down of a server after a refusal without Retry-After. */
+#define COOLDOWN_MIN_MS 50
+/*
+ * A connection that broke within this time before a crash is attributed to the
+ * crash.
+ */
+#define BROKEN_RETENTION_MS 10000
 
 static void note_failure(jj_dispatch_t *, jj_entry_t *,
     const jj_backend_event_t *, jj_ms_t, jj_actions_t *);
@@ -30,11 +33,14 @@
     const jj_backend_event_t *event, jj_ms_t now, jj_actions_t *out)
 {
 	jj_server_view_t *view = entry->server;
-	/* What a dead server ran is bounded by its slots: no retry storm. */
-	bool died = entry->resuming
+	/*
+	 * Retries after a crash are not charged to the budget: their number is
+	 * bounded by the server's slots, so they cause no retry storm.
+	 */
+	bool crashed = entry->resuming
 	    ? event->kind == JJ_BACKEND_NOT_SENT
 	    : event->kind == JJ_BACKEND_BROKEN && !view->up;
-	bool charged = event->kind != JJ_BACKEND_LEAVING && !died;
+	bool charged = event->kind != JJ_BACKEND_LEAVING && !crashed;
 	bool began = event->kind != JJ_BACKEND_NOT_SENT &&
 	    event->kind != JJ_BACKEND_REFUSED &&
 	    event->kind != JJ_BACKEND_LEAVING;
@@ -43,19 +49,20 @@
 		return;
 	note_failure(dispatch, entry, event, now, out);
 	entry->avoid = view->name;
-	jj_dispatch_leave_server(dispatch, entry);
+	jj_dispatch_release_slot(dispatch, entry);
 	entry->may_have_run |= began;
 	/*
-	 * Two servers that die at the same time are met one after the other:
-	 * one that is found dead must not use up an attempt. It is down from
-	 * now on, so that none is met twice.
+	 * When two servers crash at the same time, a request may be sent to one
+	 * after the other. A server that refuses the connection must not use up
+	 * an attempt. It is marked as down, so that no request is sent there
+	 * twice.
 	 */
 	entry->failures += event->kind != JJ_BACKEND_LEAVING &&
 	    event->kind != JJ_BACKEND_NOT_SENT;
-	/* A stream that could not be resumed had broken before. */
+	/* A stream that could not be resumed had broken before that. */
 	if (event->kind == JJ_BACKEND_BROKEN || entry->resuming)
-		note_break(entry, event, died, now, out);
-	view->awaited |= entry->awaits_look;
+		note_break(entry, event, crashed, now, out);
+	view->probe_awaited |= entry->awaits_probe;
 	if (entry->team == NULL) {
 		jj_dispatch_give_up(dispatch, entry,
 		    began ? JJ_GIVE_UP_BROKEN : JJ_GIVE_UP_OVERLOADED, now,
@@ -66,8 +73,9 @@
 }
 
 /*
- * The platform's list lags: a server that refuses as it leaves, or is gone,
- * would be sent work by the other VMs until each has found out (story 23).
+ * The platform's list of servers lags. Without a notification each other VM
+ * would send requests to a server that is leaving or gone until it finds out
+ * itself (story 23).
  */
 void
 jj_dispatch_note_server(jj_dispatch_t *dispatch, const jj_name_t *server,
@@ -77,12 +85,12 @@
 	size_t count = jj_member_list(
 	    dispatch->member, &dispatch->settings.domain, infos, VMS_MAX);
 	jj_message_t *message;
-	bool is_news = false;
+	bool changed = false;
 	size_t i;
 
-	jj_fleet_note(dispatch->fleet, server, state, boot, now, out, &is_news);
-	for (i = 0; is_news && i < count; i++) {
-		message = jj_dispatch_tell(
+	jj_fleet_note(dispatch->fleet, server, state, boot, now, out, &changed);
+	for (i = 0; changed && i < count; i++) {
+		message = jj_dispatch_add_message(
 		    out, &infos[i], dispatch, JJ_MESSAGE_SERVER_STATE);
 		if (message == NULL)
 			continue;
@@ -102,7 +110,7 @@
 	uint32_t i;
 
 	for (i = 0; i < view->broken_count && i < JJ_BROKEN_MAX; i++)
-		if (now - view->broken[i].ms <= BROKEN_MEMORY_MS)
+		if (now - view->broken[i].ms <= BROKEN_RETENTION_MS)
 			suspects[count++] = view->broken[i].fingerprint;
 	TAILQ_FOREACH(entry, &dispatch->entries, all_link)
 	{
@@ -117,29 +125,33 @@
 jj_dispatch_mark_suspect(jj_entry_t *entry, jj_ms_t now)
 {
 	entry->suspect = true;
-	entry->hold_until_ms = now + CRASH_SPREAD_MS;
+	entry->deferred_until_ms = now + CRASH_PROPAGATION_MS;
 }
 
 void
-jj_dispatch_end_look(
-    jj_dispatch_t *dispatch, jj_server_view_t *view, bool died, jj_ms_t now)
+jj_dispatch_end_probe_wait(
+    jj_dispatch_t *dispatch, jj_server_view_t *view, bool crashed, jj_ms_t now)
 {
 	jj_entry_t *entry;
 
-	view->awaited = false;
+	view->probe_awaited = false;
 	TAILQ_FOREACH(entry, &dispatch->entries, all_link)
 	{
-		if (!entry->awaits_look ||
+		if (!entry->awaits_probe ||
 		    !jj_name_equal(&entry->avoid, &view->name))
 			continue;
-		entry->awaits_look = false;
-		entry->hold_until_ms = died ? now + CRASH_SPREAD_MS : now;
+		entry->awaits_probe = false;
+		entry->deferred_until_ms =
+		    crashed ? now + CRASH_PROPAGATION_MS : now;
 	}
 }
 
-/** Live VMs of the own domain, and for its speaker those known abroad. */
+/**
+ * Recipients of crash reports: the live VMs of this domain and, when this VM is
+ * the domain's speaker, also the known VMs of other domains.
+ */
 static size_t
-list_hearers(
+list_crash_recipients(
     const jj_dispatch_t *dispatch, jj_member_info_t *infos, size_t most)
 {
 	size_t count;
@@ -163,7 +175,7 @@
     jj_actions_t *out)
 {
 	jj_member_info_t infos[VMS_MAX];
-	size_t vm_count = list_hearers(dispatch, infos, VMS_MAX);
+	size_t vm_count = list_crash_recipients(dispatch, infos, VMS_MAX);
 	jj_crash_t crash = {0};
 	jj_message_t *message;
 	uint32_t done;
@@ -180,7 +192,7 @@
 		jj_quarantine_take_crash(
 		    dispatch->quarantine, &crash, now, out);
 		for (i = 0; i < vm_count; i++) {
-			message = jj_dispatch_tell(
+			message = jj_dispatch_add_message(
 			    out, &infos[i], dispatch, JJ_MESSAGE_CRASH);
 			if (message != NULL)
 				message->body.crash = crash;
@@ -193,7 +205,7 @@
     const jj_backend_event_t *event, jj_ms_t now, jj_actions_t *out)
 {
 	jj_server_view_t *view = entry->server;
-	jj_ms_t rest = event->retry_after_ms;
+	jj_ms_t cooldown_ms = event->retry_after_ms;
 
 	switch (event->kind) {
 	case JJ_BACKEND_NOT_SENT:
@@ -207,11 +219,11 @@
 		view->up = false;
 		return;
 	case JJ_BACKEND_REFUSED:
-		if (rest < REST_LEAST_MS)
-			rest = REST_LEAST_MS;
-		if (rest > REST_MOST_MS)
-			rest = REST_MOST_MS;
-		view->rest_until_ms = now + rest;
+		if (cooldown_ms < COOLDOWN_MIN_MS)
+			cooldown_ms = COOLDOWN_MIN_MS;
+		if (cooldown_ms > COOLDOWN_MAX_MS)
+			cooldown_ms = COOLDOWN_MAX_MS;
+		view->cooldown_until_ms = now + cooldown_ms;
 		break;
 	case JJ_BACKEND_BROKEN:
 		jj_server_view_note_broken(
@@ -224,38 +236,43 @@
 }
 
 /*
- * A break may be the sign of a crash that nobody has told yet: until it has
- * completed somewhere, the request runs as a suspect. One that broke twice
- * waits for the word on those servers: sent on at once, a request that kills
- * servers has killed its third before the first death is known (story 27). So
- * does one whose server cut off the look after it as well.
+ * A broken connection may be the first sign of a crash that has not been
+ * reported yet, so the request runs as a suspect until it completes somewhere.
+ * A request that broke twice waits for the probes of these servers: otherwise a
+ * request that crashes servers would crash a third one before the first crash
+ * is known (story 27). The same applies to a request whose server also cut off
+ * the health probe after the break.
  */
 static void
-note_break(jj_entry_t *entry, const jj_backend_event_t *event, bool died,
+note_break(jj_entry_t *entry, const jj_backend_event_t *event, bool crashed,
     jj_ms_t now, jj_actions_t *out)
 {
 	entry->suspect = true;
 	entry->breaks++;
-	entry->awaits_look = event->look_cut && !died && entry->breaks == 1;
-	if (entry->breaks > 1 || entry->awaits_look)
-		entry->hold_until_ms = now + CRASH_WAIT_MS;
-	/* By then a resend of it at another VM is a suspect there, too. */
-	else if (died)
-		entry->hold_until_ms = now + CRASH_SPREAD_MS;
+	entry->awaits_probe = event->look_cut && !crashed && entry->breaks == 1;
+	if (entry->breaks > 1 || entry->awaits_probe)
+		entry->deferred_until_ms = now + CRASH_DETECTION_MS;
+	/*
+	 * After this time a copy of it that the caller sends to another VM is a
+	 * suspect there, too.
+	 */
+	else if (crashed)
+		entry->deferred_until_ms = now + CRASH_PROPAGATION_MS;
 	jj_actions_add_event(out, "attempt_broken",
 	    "request=%016llx fingerprint=%016llx server=%s attempt=%u "
 	    "breaks=%u died=%d look_cut=%d hold_ms=%lld",
 	    (unsigned long long)entry->request.request,
 	    (unsigned long long)entry->request.fingerprint, entry->avoid.text,
-	    entry->attempt, entry->breaks, died, event->look_cut,
-	    entry->hold_until_ms > now ? (long long)(entry->hold_until_ms - now)
-				       : 0LL);
+	    entry->attempt, entry->breaks, crashed, event->look_cut,
+	    entry->deferred_until_ms > now
+		? (long long)(entry->deferred_until_ms - now)
+		: 0LL);
 }
 
 /*
- * Retries are for requests that may run twice, or surely have not run, and
- * of which the caller has seen nothing. They are bounded per request and by
- * the service's budget, so that a failing back end is not kept down by them.
+ * Retries are allowed for requests that are idempotent or have not run, and of
+ * which the caller has received nothing. They are bounded per request and by
+ * the service's budget, so that retries do not keep an overloaded service down.
  */
 static void
 retry_or_give_up(jj_dispatch_t *dispatch, jj_entry_t *entry, bool charged,
@@ -274,7 +291,8 @@
 		     entry->request.fingerprint, now) == JJ_QUARANTINE_REFUSED)
 		jj_dispatch_give_up(
 		    dispatch, entry, JJ_GIVE_UP_QUARANTINED, now, out);
-	else if (now + (jj_ms_t)service->quick_ms > entry->request.deadline_ms)
+	else if (now + (jj_ms_t)service->fast_answer_ms >
+	    entry->request.deadline_ms)
 		jj_dispatch_give_up(
 		    dispatch, entry, JJ_GIVE_UP_DEADLINE, now, out);
 	else if (entry->failures >= attempts ||
--- a/src/core/dispatch_headroom.c
+++ b/src/core/dispatch_headroom.c
@@ -1,6 +1,7 @@
 /**
  * @file dispatch_headroom.c
- * @brief Measures token gaps and keeps the limit at the bend of the curve.
+ * @brief Measures token gaps and keeps the limit at the load where they start
+ * to grow.
  */
 #include <math.h>
 #include <stdlib.h>
@@ -9,47 +10,58 @@
 
 #define US_PER_MS 1000.0
 #define ADJUST_MS 100
-/* Fewer gaps than this do not make a measurement. */
-#define SAMPLES_LEAST 24
-/* Gaps longer than this many medians hold a prefill and are left out. */
+/* Minimum number of gaps for a measurement. */
+#define SAMPLES_MIN 24
+/* Gaps longer than this many medians include a prefill and are left out. */
 #define OUTLIER_FACTOR 1.5
-/* Growth of the gap that is put up with, at trade 0 and trade 1. */
-#define ALLOWANCE_LEAST 0.04
-#define ALLOWANCE_MOST 0.06
-/* Growth put up with, and of the limit, while no online request runs. */
-#define ALLOWANCE_ALONE 0.3
-#define ALONE_FACTOR 1.1
-/* Growth of the limit per adjustment before and after the first bound. */
+/* Tolerated growth of the gap, at trade 0 and trade 1. */
+#define ALLOWANCE_MIN 0.04
+#define ALLOWANCE_MAX 0.06
+/*
+ * Tolerated growth of the gap, and growth of the limit, while no online request
+ * runs.
+ */
+#define ALLOWANCE_BATCH_ONLY 0.3
+#define BATCH_ONLY_FACTOR 1.1
+/*
+ * Growth of the limit per adjustment: a factor before the limit was first
+ * lowered, a number of requests after that.
+ */
 #define START_FACTOR 1.5
 #define GROWTH 0.3
-/* One breach lowers the limit to no less than this share. */
-#define SHRINK_LEAST 0.5
-/* Shares by which the base follows a measurement. */
+/* One adjustment lowers the limit at most to this share of it. */
+#define SHRINK_MIN 0.5
+/* Shares by which the base gap follows a lower or a higher measurement. */
 #define BASE_DOWN 0.5
 #define BASE_UP 0.02
-/* Crowded this long, and not by batch: the server itself became slower. */
+/*
+ * When gaps are longer than batch can explain for this time, the server itself
+ * became slower.
+ */
 #define CROWDED_MS 5000
-/* Share of a server's time that batch prefills may take, trade 0 and 1. */
-#define PREFILL_SHARE_LEAST 0.20
-#define PREFILL_SHARE_MOST 0.50
-/* Two reports closer than this are of one snapshot. */
+/* Share of a server's time that batch prefills may take, at trade 0 and 1. */
+#define PREFILL_SHARE_MIN 0.20
+#define PREFILL_SHARE_MAX 0.50
+/* Two reports closer than this describe the same snapshot. */
 #define SNAPSHOT_MS 100
-/* Reports further apart do not show what was between them. */
-#define REPORTS_APART_MS 750
-/* Places over the limit before batch is stopped, trade 0 and 1. */
-#define SLACK_LEAST 1.0
-#define SLACK_MOST 4.0
-/* Share of the slots that batch leaves free for online arrivals. */
+/* With reports further apart than this, the time between them is unknown. */
+#define REPORT_DISTANCE_MAX_MS 750
+/*
+ * Requests above the limit before batch items are cancelled, at trade 0 and 1.
+ */
+#define SLACK_MIN 1.0
+#define SLACK_MAX 4.0
+/* Batch leaves one in this many slots free for online arrivals. */
 #define SLOTS_FREE_SHARE 8
 
-static double measure(jj_headroom_t *);
+static double mean_gap(jj_headroom_t *);
 static int compare_samples(const void *, const void *);
 static void
-learn_base(jj_headroom_t *, const jj_headroom_use_t *, double, jj_ms_t);
-static void move_limit(jj_headroom_t *, const jj_headroom_use_t *, double);
-static void grow_alone(jj_headroom_t *);
-static double between(double, double, double);
-static double ceiling(const jj_headroom_t *, const jj_headroom_use_t *);
+update_base_gap(jj_headroom_t *, const jj_headroom_use_t *, double, jj_ms_t);
+static void update_limit(jj_headroom_t *, const jj_headroom_use_t *, double);
+static void grow_batch_only(jj_headroom_t *);
+static double interpolate(double, double, double);
+static double effective_limit(const jj_headroom_t *, const jj_headroom_use_t *);
 
 void
 jj_headroom_reset(jj_headroom_t *headroom, uint32_t start)
@@ -68,7 +80,7 @@
 }
 
 void
-jj_headroom_add_first(jj_headroom_t *headroom, jj_ms_t first_ms)
+jj_headroom_add_first_token(jj_headroom_t *headroom, jj_ms_t first_ms)
 {
 	double prefill_ms = (double)first_ms - headroom->gap_us / US_PER_MS;
 
@@ -81,19 +93,21 @@
 jj_headroom_adjust(
     jj_headroom_t *headroom, const jj_headroom_use_t *use, jj_ms_t now)
 {
-	if (now < headroom->step_ms || headroom->sample_count < SAMPLES_LEAST)
+	if (now < headroom->next_adjust_ms ||
+	    headroom->sample_count < SAMPLES_MIN)
 		return;
-	headroom->step_ms = now + ADJUST_MS;
-	headroom->gap_us = measure(headroom);
-	learn_base(headroom, use, headroom->gap_us, now);
-	move_limit(headroom, use, headroom->gap_us);
+	headroom->next_adjust_ms = now + ADJUST_MS;
+	headroom->gap_us = mean_gap(headroom);
+	update_base_gap(headroom, use, headroom->gap_us, now);
+	update_limit(headroom, use, headroom->gap_us);
 }
 
 /*
- * A server takes a request in at its next step, so that one report in which
- * requests wait shows arrivals as often as a queue: the number that ran then
- * says nothing about its places. A server whose places are taken has a queue
- * in each report, and as many run as it has places in at least one of them.
+ * A server admits a request at its next step, so one report with waiting
+ * requests may only show requests that have just arrived: the number that ran
+ * then says nothing about the server's slots. A server whose slots are all
+ * taken shows a queue in each report, and in at least one of them runs as many
+ * requests as it has slots.
  */
 void
 jj_headroom_note_report(jj_headroom_t *headroom, uint32_t running,
@@ -102,16 +116,20 @@
 	uint32_t most = 0;
 	uint32_t i;
 
-	/* A report that comes late says nothing of the queue since. */
-	if (taken_ms < headroom->queue_ms)
+	/*
+	 * A report that arrives out of order says nothing about the queue
+	 * since.
+	 */
+	if (taken_ms < headroom->queue_report_ms)
 		return;
-	if (waiting == 0 || taken_ms - headroom->queue_ms > REPORTS_APART_MS)
+	if (waiting == 0 ||
+	    taken_ms - headroom->queue_report_ms > REPORT_DISTANCE_MAX_MS)
 		headroom->queue_reports = 0;
 	if (waiting == 0 ||
 	    (headroom->queue_reports > 0 &&
-		taken_ms - headroom->queue_ms < SNAPSHOT_MS))
+		taken_ms - headroom->queue_report_ms < SNAPSHOT_MS))
 		return;
-	headroom->queue_ms = taken_ms;
+	headroom->queue_report_ms = taken_ms;
 	headroom->queue_running[headroom->queue_reports % JJ_QUEUE_REPORTS] =
 	    running;
 	headroom->queue_reports++;
@@ -119,7 +137,10 @@
 		if (most < headroom->queue_running[i])
 			most = headroom->queue_running[i];
 	}
-	/* A limit of 0 would be final: without a stream no gap is measured. */
+	/*
+	 * A limit of 0 could never rise again: without a stream no gap is
+	 * measured.
+	 */
 	if (headroom->queue_reports < JJ_QUEUE_REPORTS || most == 0)
 		return;
 	headroom->starting = false;
@@ -131,34 +152,37 @@
 }
 
 uint32_t
-jj_headroom_room(
+jj_headroom_free_slots(
     const jj_headroom_t *headroom, const jj_headroom_use_t *use, jj_ms_t now)
 {
-	double room;
+	double free_slots;
 
-	if (now < headroom->rest_ms || use->batch >= use->batch_most)
+	if (now < headroom->next_batch_ms || use->batch >= use->batch_max)
 		return 0;
-	room = ceiling(headroom, use) - use->online - use->batch;
-	if (room < 1)
+	free_slots = effective_limit(headroom, use) - use->online - use->batch;
+	if (free_slots < 1)
 		return 0;
-	if (room > use->batch_most - use->batch)
-		return use->batch_most - use->batch;
-	return (uint32_t)room;
+	if (free_slots > use->batch_max - use->batch)
+		return use->batch_max - use->batch;
+	return (uint32_t)free_slots;
 }
 
 uint32_t
 jj_headroom_excess(const jj_headroom_t *headroom, const jj_headroom_use_t *use)
 {
-	double most = ceiling(headroom, use);
-	double slack = between(SLACK_LEAST, SLACK_MOST, use->trade);
+	double most = effective_limit(headroom, use);
+	double slack = interpolate(SLACK_MIN, SLACK_MAX, use->trade);
 	double excess;
 
-	/* Online alone fills the server: nothing is left to be slack with. */
+	/* Online requests alone fill the server, so no excess is tolerated. */
 	if (use->online >= most)
 		slack = 0;
 	excess = use->online + use->batch - most - slack;
 
-	/* Batch alone is no harm: let it run out rather than be lost. */
+	/*
+	 * Without online requests nobody is slowed down: let the batch items
+	 * finish instead of losing their work.
+	 */
 	if (excess < 1 || use->online == 0)
 		return 0;
 	return excess > use->batch ? use->batch : (uint32_t)excess;
@@ -169,17 +193,19 @@
     jj_headroom_t *headroom, const jj_headroom_use_t *use, jj_ms_t now)
 {
 	double share =
-	    between(PREFILL_SHARE_LEAST, PREFILL_SHARE_MOST, use->trade);
+	    interpolate(PREFILL_SHARE_MIN, PREFILL_SHARE_MAX, use->trade);
 
-	/* Batch prefills that pile up stall every stream of the server. */
+	/*
+	 * Batch prefills in close succession stall every stream of the server.
+	 */
 	if (use->online > 0)
-		headroom->rest_ms =
+		headroom->next_batch_ms =
 		    now + (jj_ms_t)(headroom->prefill_ms * (1 - share) / share);
 }
 
-/* The mean of the gaps without those that a prefill lengthened. */
+/* The mean gap, without the gaps that a prefill lengthened. */
 static double
-measure(jj_headroom_t *headroom)
+mean_gap(jj_headroom_t *headroom)
 {
 	uint32_t sorted[JJ_HEADROOM_SAMPLES];
 	uint32_t count = headroom->sample_count;
@@ -216,13 +242,13 @@
 }
 
 /*
- * The base follows lower gaps at once and higher ones only when batch cannot
- * be their cause: when they are higher for long than the batch items that run
- * there could make them.
+ * The base gap follows lower gaps at once. It follows higher ones only when
+ * batch cannot be the cause, that is, when they stay longer than the running
+ * batch items could make them.
  */
 static void
-learn_base(jj_headroom_t *headroom, const jj_headroom_use_t *use, double gap,
-    jj_ms_t now)
+update_base_gap(jj_headroom_t *headroom, const jj_headroom_use_t *use,
+    double gap, jj_ms_t now)
 {
 	double running = use->online + use->batch;
 	double others = use->online > 0 ? use->online : 1;
@@ -236,42 +262,46 @@
 		    (gap - headroom->base_gap_us) * BASE_DOWN;
 		return;
 	}
-	/* At the worst a gap grows in proportion to what runs. */
+	/*
+	 * In the worst case a gap grows in proportion to the running requests.
+	 */
 	if (gap <= headroom->base_gap_us * running / others) {
-		headroom->crowded_ms = 0;
+		headroom->crowded_since_ms = 0;
 		return;
 	}
-	if (headroom->crowded_ms == 0)
-		headroom->crowded_ms = now;
-	if (now - headroom->crowded_ms >= CROWDED_MS)
+	if (headroom->crowded_since_ms == 0)
+		headroom->crowded_since_ms = now;
+	if (now - headroom->crowded_since_ms >= CROWDED_MS)
 		headroom->base_gap_us +=
 		    (gap - headroom->base_gap_us) * BASE_UP;
 }
 
 /*
- * Over the bend the gap grows in proportion to what runs, so that the ratio
- * of the gaps says how far the limit has to go down.
+ * Beyond the load at which gaps start to grow, they grow in proportion to the
+ * running requests. So the ratio of the gaps shows how far the limit has to go
+ * down.
  */
 static void
-move_limit(jj_headroom_t *headroom, const jj_headroom_use_t *use, double gap)
+update_limit(jj_headroom_t *headroom, const jj_headroom_use_t *use, double gap)
 {
 	double running = use->online + use->batch;
 	double allowed = headroom->base_gap_us *
-	    (1 + between(ALLOWANCE_LEAST, ALLOWANCE_MOST, use->trade));
+	    (1 + interpolate(ALLOWANCE_MIN, ALLOWANCE_MAX, use->trade));
 	double lower;
 
 	/*
-	 * Batch alone harms nobody: jitter of its own gaps must not keep an
-	 * idle server idle. It only gives way far past the bend.
+	 * Without online requests nobody is slowed down, and jitter of batch's
+	 * own gaps must not keep an idle server idle. Batch is only reduced
+	 * when the gap is far above the bound.
 	 */
 	if (use->online == 0 && gap > allowed &&
-	    gap <= headroom->base_gap_us * (1 + ALLOWANCE_ALONE))
+	    gap <= headroom->base_gap_us * (1 + ALLOWANCE_BATCH_ONLY))
 		return;
 	if (gap > allowed) {
 		headroom->starting = false;
 		lower = running * allowed / gap;
-		if (lower < headroom->limit * SHRINK_LEAST)
-			lower = headroom->limit * SHRINK_LEAST;
+		if (lower < headroom->limit * SHRINK_MIN)
+			lower = headroom->limit * SHRINK_MIN;
 		if (lower < headroom->limit) {
 			headroom->limit = lower;
 			headroom->bound = JJ_BOUND_GAPS;
@@ -286,33 +316,37 @@
 	if (headroom->starting)
 		headroom->limit *= START_FACTOR;
 	else if (use->online == 0)
-		grow_alone(headroom);
+		grow_batch_only(headroom);
 	else
 		headroom->limit += GROWTH;
 }
 
 /*
- * Part of a place lets nothing more run: at a low limit, where few gaps are
- * measured, it would take half a minute to try one more request.
+ * A fraction of a request does not let another one start: at a low limit, where
+ * few gaps are measured, it would take half a minute to try one more request.
+ * So the limit grows by at least 1.
  */
 static void
-grow_alone(jj_headroom_t *headroom)
+grow_batch_only(jj_headroom_t *headroom)
 {
-	double grown = headroom->limit * ALONE_FACTOR;
+	double grown = headroom->limit * BATCH_ONLY_FACTOR;
 
 	headroom->limit =
 	    grown > headroom->limit + 1 ? grown : headroom->limit + 1;
 }
 
 static double
-between(double least, double most, double share)
+interpolate(double least, double most, double share)
 {
 	return least + (most - least) * share;
 }
 
-/* The limit, held below the slots so that online never queues for one. */
+/*
+ * The limit, capped below the slots so that online requests never queue for
+ * one.
+ */
 static double
-ceiling(const jj_headroom_t *headroom, const jj_headroom_use_t *use)
+effective_limit(const jj_headroom_t *headroom, const jj_headroom_use_t *use)
 {
 	uint32_t spare = use->slots / SLOTS_FREE_SHARE;
 	double most = use->slots - spare;
--- a/src/core/dispatch_queue.c
+++ b/src/core/dispatch_queue.c
@@ -1,17 +1,20 @@
 /**
  * @file dispatch_queue.c
- * @brief Team queues, their order, and the rate at which they drain.
+ * @brief Team queues, the order among them, and their drain rate.
  */
 #include <stdlib.h>
 
 #include "core/dispatch_queue.h"
 
 #define DRAIN_WINDOW_MS 2000
-/* Prompt tokens that cost a server as much as one token put out. */
+/* Prompt tokens that cost a server as much as one output token. */
 #define PROMPT_TOKENS_PER_OUTPUT 100.0
-/* The quick answer's time follows quicker ones at once, slower ones so. */
-#define QUICK_RISE 0.02
-/* Weight of the newest answer in the mean time. */
+/*
+ * Share by which the fast answer time follows slower answers; it takes faster
+ * ones over at once.
+ */
+#define FAST_ANSWER_RISE 0.02
+/* Weight of the newest answer in the mean answer time. */
 #define MEAN_WEIGHT 0.05
 
 static double drain_rate(jj_service_queue_t *, jj_ms_t);
@@ -70,7 +73,7 @@
 		TAILQ_INSERT_TAIL(&service->teams, queue, link);
 	}
 	queue->weight = team->weight > 0 ? team->weight : 1;
-	queue->in_flight_most = team->in_flight;
+	queue->in_flight_max = team->in_flight;
 	return queue;
 }
 
@@ -83,7 +86,10 @@
 
 	for (team = TAILQ_FIRST(&service->teams); team != NULL; team = next) {
 		next = TAILQ_NEXT(team, link);
-		/* One ahead of the others stays, else its debt is forgotten. */
+		/*
+		 * A team that is ahead of the others stays, as its use would be
+		 * forgotten otherwise.
+		 */
 		if (team->users > 0 ||
 		    (!idle && team->virtual_time > service->virtual_time))
 			continue;
@@ -102,12 +108,15 @@
 
 	entry->state = JJ_ENTRY_QUEUED;
 	entry->queued_ms = now;
-	/* One that waits for a server without suspects holds up nobody. */
+	/*
+	 * Suspects wait for a server that runs no other suspect; in a list of
+	 * their own they do not block their team's queue.
+	 */
 	if (entry->suspect) {
 		TAILQ_INSERT_TAIL(&service->suspects, entry, link);
 		return;
 	}
-	/* A team that was idle may not save up its turn. */
+	/* A team does not accumulate credit while it is idle. */
 	if (team->queued == 0 && team->virtual_time < service->virtual_time)
 		team->virtual_time = service->virtual_time;
 	if (service->queued == 0)
@@ -144,8 +153,8 @@
 	TAILQ_FOREACH(team, &service->teams, link)
 	{
 		if (team->queued == 0 ||
-		    (team->in_flight_most > 0 &&
-			team->in_flight >= team->in_flight_most))
+		    (team->in_flight_max > 0 &&
+			team->in_flight >= team->in_flight_max))
 			continue;
 		if (best == NULL || team->virtual_time < best->virtual_time)
 			best = team;
@@ -164,8 +173,8 @@
 }
 
 /*
- * The newest request of the team that waits with most for its weight: a team
- * that floods loses its own requests, not those of the others.
+ * The newest request of the team with the longest queue for its weight: a team
+ * that sends too much loses its own requests, not those of the others.
  */
 jj_entry_t *
 jj_service_queue_overflow(const jj_service_queue_t *service)
@@ -196,33 +205,35 @@
 	if (service->mean_ms <= 0)
 		service->mean_ms = took;
 	service->mean_ms += (took - service->mean_ms) * MEAN_WEIGHT;
-	if (service->quick_ms <= 0 || took < service->quick_ms)
-		service->quick_ms = took;
+	if (service->fast_answer_ms <= 0 || took < service->fast_answer_ms)
+		service->fast_answer_ms = took;
 	else
-		service->quick_ms += (took - service->quick_ms) * QUICK_RISE;
+		service->fast_answer_ms +=
+		    (took - service->fast_answer_ms) * FAST_ANSWER_RISE;
 }
 
 jj_ms_t
 jj_service_queue_wait(jj_service_queue_t *service, const jj_team_queue_t *team,
-    uint32_t place, jj_ms_t now)
+    uint32_t position, jj_ms_t now)
 {
 	double rate = drain_rate(service, now);
 	double ahead;
 
-	if (place == 0)
+	if (position == 0)
 		return 0;
 	if (rate <= 0)
 		return JJ_MS_NEVER;
-	ahead = place * waiting_weight(service, team) / team->weight;
+	ahead = position * waiting_weight(service, team) / team->weight;
 	if (ahead > service->queued)
 		ahead = service->queued;
 	return (jj_ms_t)(ahead / rate);
 }
 
 /*
- * Online requests that leave the servers, per millisecond: counted when the
- * queue was never empty over the window, else (what was counted is only what
- * arrived) what is in flight over the time it takes.
+ * Rate at which online requests leave the servers, per millisecond. When the
+ * queue was never empty during the window, it is the number counted. Otherwise
+ * the count only shows what arrived, so it is the number in flight divided by
+ * the mean answer time.
  */
 static double
 drain_rate(jj_service_queue_t *service, jj_ms_t now)
@@ -242,7 +253,7 @@
 	    request->prompt_tokens / PROMPT_TOKENS_PER_OUTPUT;
 }
 
-/* Weight of all teams that wait, with this one. */
+/* Sum of the weights of this team and of all others with queued requests. */
 static double
 waiting_weight(const jj_service_queue_t *service, const jj_team_queue_t *own)
 {
--- a/src/core/dispatch_refresh.c
+++ b/src/core/dispatch_refresh.c
@@ -1,19 +1,21 @@
 /**
  * @file dispatch_refresh.c
- * @brief What time brings: services, deadlines, headroom, withdrawal.
+ * @brief Periodic work: services, deadlines, headroom, withdrawal of batch
+ * items.
  */
 #include "core/dispatch_state.h"
 
-/* The views of servers and neighbours are renewed this often. */
+/* Interval at which the views of servers and neighbours are refreshed. */
 #define REFRESH_MS 100
 /*
- * And those of other domains' servers adjusted: no batch runs there that would
- * have to give way, and they are two thousand.
+ * Interval at which the headroom of other domains' servers is adjusted: this VM
+ * runs no batch items there that would have to be withdrawn, and they are two
+ * thousand.
  */
-#define DISTANT_MS 500
-/* A server that batch was withdrawn from gets none for so long. */
-#define WITHDRAW_REST_MS 60
-/* Changes of a server's limit are logged this often. */
+#define REMOTE_ADJUST_MS 500
+/* After a withdrawal a server gets no batch items for this time. */
+#define WITHDRAW_PAUSE_MS 60
+/* Minimum interval between log entries about a server's limit. */
 #define LIMIT_LOG_MS 1000
 
 static void refresh_services(jj_dispatch_t *);
@@ -31,8 +33,10 @@
 	jj_service_queue_t *service;
 	size_t vms;
 
-	/* A new configuration counts at once: a request for a service that it
-	 * brought must not be told that there is no such service. */
+	/*
+	 * A new configuration takes effect at once: a request for a service
+	 * that it adds must not be answered with "no such service".
+	 */
 	if (now < dispatch->refresh_ms &&
 	    dispatch->config_version == jj_config_version(dispatch->config))
 		return;
@@ -42,19 +46,19 @@
 	dispatch->refresh_ms = now + REFRESH_MS;
 	vms = jj_member_list(
 	    dispatch->member, &dispatch->settings.domain, infos, VMS_MAX);
-	if ((int64_t)vms > dispatch->vms)
-		jj_dispatch_tell_anew(dispatch);
-	dispatch->vms = vms > 0 ? (int64_t)vms : 1;
+	if ((int64_t)vms > dispatch->live_vms)
+		jj_dispatch_reset_reported(dispatch);
+	dispatch->live_vms = vms > 0 ? (int64_t)vms : 1;
 	refresh_services(dispatch);
-	jj_dispatch_renew_views(dispatch, infos, vms, now);
+	jj_dispatch_refresh_views(dispatch, infos, vms, now);
 	TAILQ_FOREACH(service, &dispatch->services, link)
 	jj_service_queue_sweep(service);
 }
 
 /*
- * A queued request that can no longer make it is answered now, while its
- * caller can still do something else; one in flight of which the caller has
- * seen nothing is stopped when its deadline passes.
+ * A queued request that can no longer meet its deadline is answered now, while
+ * its caller can still react. A request in flight of which the caller has
+ * received nothing is stopped when its deadline passes.
  */
 void
 jj_dispatch_check_deadlines(
@@ -67,12 +71,12 @@
 	for (entry = TAILQ_FIRST(&dispatch->entries); entry != NULL;
 	     entry = next) {
 		next = TAILQ_NEXT(entry, all_link);
-		/* A batch item past its job's due time is still wanted. */
+		/* A batch item is still run after its job's due time. */
 		if (entry->team == NULL)
 			continue;
 		deadline = entry->request.deadline_ms;
 		if (entry->state == JJ_ENTRY_QUEUED)
-			deadline -= (jj_ms_t)entry->service->quick_ms;
+			deadline -= (jj_ms_t)entry->service->fast_answer_ms;
 		else if (entry->relayed)
 			continue;
 		if (now > deadline)
@@ -89,16 +93,16 @@
 	jj_server_view_t *view;
 	jj_headroom_use_t base;
 	jj_headroom_use_t use;
-	bool distant = now >= dispatch->distant_ms;
+	bool remote_due = now >= dispatch->remote_adjust_ms;
 
-	if (distant)
-		dispatch->distant_ms = now + DISTANT_MS;
+	if (remote_due)
+		dispatch->remote_adjust_ms = now + REMOTE_ADJUST_MS;
 	TAILQ_FOREACH(service, &dispatch->services, link)
 	{
 		base = jj_dispatch_headroom_use(dispatch, service);
 		TAILQ_FOREACH(view, &service->servers, link)
 		{
-			if (!view->local && !distant)
+			if (!view->local && !remote_due)
 				break;
 			use = jj_server_view_use(view, &base);
 			jj_headroom_adjust(&view->headroom, &use, now);
@@ -132,8 +136,8 @@
 }
 
 /*
- * A limit that is too low looks like a job that nobody runs: its change and
- * what lowered it are logged where batch is decided on.
+ * A limit that is too low shows only as a job that makes no progress. So the
+ * steward logs each change of a limit and its cause.
  */
 static void
 log_limit(jj_server_view_t *view, const jj_headroom_use_t *use, jj_ms_t now,
@@ -143,20 +147,20 @@
 	const jj_headroom_t *headroom = &view->headroom;
 	uint32_t limit = (uint32_t)headroom->limit;
 
-	if (!view->steward || limit == view->limit_told ||
-	    now < view->limit_told_ms + LIMIT_LOG_MS)
+	if (!view->steward || limit == view->logged_limit ||
+	    now < view->limit_logged_ms + LIMIT_LOG_MS)
 		return;
 	jj_actions_add_event(out, "batch_limit",
 	    "server=%s limit=%u was=%u lowered_by=%s ran=%u online=%u batch=%u "
 	    "gap_us=%.0f base_gap_us=%.0f",
-	    view->name.text, limit, view->limit_told, bounds[headroom->bound],
+	    view->name.text, limit, view->logged_limit, bounds[headroom->bound],
 	    headroom->bound_running, use->online, use->batch, headroom->gap_us,
 	    headroom->base_gap_us);
-	view->limit_told = limit;
-	view->limit_told_ms = now;
+	view->logged_limit = limit;
+	view->limit_logged_ms = now;
 }
 
-/* Online went up: batch gives its places back at once. */
+/* Cancels batch items above the limit when online load has risen. */
 static void
 withdraw_excess(jj_dispatch_t *dispatch, jj_service_queue_t *service,
     jj_server_view_t *view, jj_ms_t now, jj_actions_t *out)
@@ -169,7 +173,7 @@
 	excess = jj_headroom_excess(&view->headroom, &use);
 	if (excess == 0)
 		return;
-	view->headroom.rest_ms = now + WITHDRAW_REST_MS;
+	view->headroom.next_batch_ms = now + WITHDRAW_PAUSE_MS;
 	for (; excess > 0; excess--) {
 		victim = choose_victim(dispatch, view);
 		if (victim == NULL)
@@ -179,7 +183,7 @@
 	}
 }
 
-/* The batch item that loses least work: fewest tokens, newest first. */
+/* The batch item whose loss costs least work: fewest tokens, newest first. */
 static jj_entry_t *
 choose_victim(const jj_dispatch_t *dispatch, const jj_server_view_t *view)
 {
@@ -191,8 +195,8 @@
 	TAILQ_FOREACH(entry, &dispatch->entries, all_link)
 	{
 		/*
-		 * A non-idempotent item may never be sent again: stopped, it
-		 * would stay without a result.
+		 * A non-idempotent item cannot be retried: cancelled, it would
+		 * never get a result.
 		 */
 		if (entry->server != view || entry->team != NULL ||
 		    !entry->request.idempotent)
--- a/src/core/dispatch_resume.c
+++ b/src/core/dispatch_resume.c
@@ -1,17 +1,17 @@
 /**
  * @file dispatch_resume.c
- * @brief Streams that go on after their connection broke.
+ * @brief Resumes streams whose connection broke.
  *
- * A connection breaks, or an answer ends without its end mark, in the middle
- * of a stream whose server is well. Part of the answer is at the caller, so
- * that it can be sent nowhere else; the engine keeps the stream, and a resume
- * gives the rest. Nothing is begun anew by it: an engine that has restarted,
- * or does not know the stream, refuses (story 18), and the request goes the
- * way of any that broke.
+ * A connection breaks, or an answer ends without its end mark, in the middle of
+ * a stream while the server is healthy. As the caller has received part of the
+ * answer, the request cannot be sent to another server. The engine keeps the
+ * stream, and a resume returns the rest of it. A resume never starts a new run:
+ * an engine that has restarted, or does not know the stream, refuses it (story
+ * 18), and the request is handled like any other broken one.
  */
 #include "core/dispatch_state.h"
 
-/* A stream that breaks again and again is given up on. */
+/* Resumes per request, after which a stream that breaks again has failed. */
 #define RESUMES_MOST 2
 
 static bool can_resume(
@@ -26,8 +26,10 @@
 
 	if (!can_resume(dispatch, entry, event, now))
 		return false;
-	/* The server may have died all the same: its crash report shall name
-	 * what broke there (story 27). */
+	/*
+	 * The server may have crashed all the same: its crash report must name
+	 * the requests whose connections broke there (story 27).
+	 */
 	jj_server_view_note_broken(view, entry->request.fingerprint, now);
 	jj_server_view_note_outcome(view, true);
 	entry->may_have_run = true;
--- a/src/core/dispatch_send.c
+++ b/src/core/dispatch_send.c
@@ -1,13 +1,15 @@
 /**
  * @file dispatch_send.c
- * @brief Admission and sending: queues, the choice of a server, the
- * start of an attempt.
+ * @brief Admission, queueing, choice of a server, start of an attempt.
  */
 #include "core/dispatch_state.h"
 
-/* A suspect waits so long for one of the servers that are open to this VM. */
-#define SUSPECT_TURN_MS 500
-/* Used where the configuration leaves it open. */
+/*
+ * A suspect waits this long for one of the servers that this VM may send it to
+ * in a round; then the next round begins.
+ */
+#define SUSPECT_ROUND_MS 500
+/* Defaults for values that the configuration does not set. */
 #define DEFAULT_QUEUE_LIMIT 256
 #define DEFAULT_SLOTS 32
 
@@ -15,8 +17,8 @@
 static void
 pump_suspects(jj_dispatch_t *, jj_service_queue_t *, jj_ms_t, jj_actions_t *);
 static bool send_online(jj_dispatch_t *, jj_entry_t *, jj_ms_t, jj_actions_t *);
-static jj_server_view_t *choose(jj_dispatch_t *, jj_entry_t *, jj_ms_t);
-static void start(
+static jj_server_view_t *choose_server(jj_dispatch_t *, jj_entry_t *, jj_ms_t);
+static void start_attempt(
     jj_dispatch_t *, jj_entry_t *, jj_server_view_t *, jj_ms_t, jj_actions_t *);
 
 void
@@ -54,7 +56,9 @@
 		    dispatch, victim, JJ_GIVE_UP_OVERLOADED, now, out);
 }
 
-/* Batch never waits here: what does not fit now goes back at once. */
+/*
+ * Batch items are never queued here: an item that does not fit now is refused.
+ */
 void
 jj_dispatch_begin_batch(
     jj_dispatch_t *dispatch, jj_entry_t *entry, jj_ms_t now, jj_actions_t *out)
@@ -76,7 +80,7 @@
 	}
 	use = jj_server_view_use(view, &use);
 	jj_headroom_note_start(&view->headroom, &use, now);
-	start(dispatch, entry, view, now, out);
+	start_attempt(dispatch, entry, view, now, out);
 }
 
 bool
@@ -86,7 +90,10 @@
 
 	TAILQ_FOREACH(view, &service->servers, link)
 	{
-		/* One that rests for a moment comes back: worth a wait. */
+		/*
+		 * A server in its cool-down becomes available soon, so waiting
+		 * is worthwhile.
+		 */
 		if (view->listed && view->up)
 			return true;
 	}
@@ -108,7 +115,7 @@
 }
 
 void
-jj_dispatch_leave_server(jj_dispatch_t *dispatch, jj_entry_t *entry)
+jj_dispatch_release_slot(jj_dispatch_t *dispatch, jj_entry_t *entry)
 {
 	jj_server_view_t *view = entry->server;
 
@@ -122,19 +129,22 @@
 		view->suspects--;
 	entry->server = NULL;
 	entry->state = JJ_ENTRY_IDLE;
-	dispatch->told_all = false;
+	dispatch->loads_reported = false;
 }
 
-/* False when even a quick answer would come too late from this place. */
+/*
+ * False when even a fast answer would miss the deadline from this queue
+ * position.
+ */
 static bool
-can_meet_deadline(const jj_entry_t *entry, uint32_t place, jj_ms_t now)
+can_meet_deadline(const jj_entry_t *entry, uint32_t position, jj_ms_t now)
 {
 	jj_ms_t wait =
-	    jj_service_queue_wait(entry->service, entry->team, place, now);
+	    jj_service_queue_wait(entry->service, entry->team, position, now);
 
 	if (wait == JJ_MS_NEVER)
 		wait = 0;
-	return now + wait + (jj_ms_t)entry->service->quick_ms <=
+	return now + wait + (jj_ms_t)entry->service->fast_answer_ms <=
 	    entry->request.deadline_ms;
 }
 
@@ -152,7 +162,10 @@
 	}
 }
 
-/* False when no server has a place; true also when it was given up. */
+/*
+ * Returns false when the request stays queued; true when it was sent, given up
+ * or moved to the suspects.
+ */
 static bool
 send_online(
     jj_dispatch_t *dispatch, jj_entry_t *entry, jj_ms_t now, jj_actions_t *out)
@@ -162,7 +175,7 @@
 	    dispatch->quarantine, entry->request.fingerprint, now);
 	jj_server_view_t *view;
 
-	/* A neighbour's crash report may have come while it waited. */
+	/* A neighbour's crash report may have arrived while it was queued. */
 	if (verdict == JJ_QUARANTINE_REFUSED) {
 		jj_dispatch_give_up(
 		    dispatch, entry, JJ_GIVE_UP_QUARANTINED, now, out);
@@ -174,19 +187,19 @@
 		jj_service_queue_add(service, entry, false, now);
 		return true;
 	}
-	if (now < entry->hold_until_ms)
+	if (now < entry->deferred_until_ms)
 		return false;
-	view = choose(dispatch, entry, now);
+	view = choose_server(dispatch, entry, now);
 	if (view == NULL)
 		return false;
 	jj_service_queue_remove(service, entry);
 	jj_service_queue_charge(service, entry);
-	start(dispatch, entry, view, now, out);
+	start_attempt(dispatch, entry, view, now, out);
 	return true;
 }
 
 static jj_server_view_t *
-choose(jj_dispatch_t *dispatch, jj_entry_t *entry, jj_ms_t now)
+choose_server(jj_dispatch_t *dispatch, jj_entry_t *entry, jj_ms_t now)
 {
 	jj_service_queue_t *service = entry->service;
 	jj_member_info_t infos[VMS_MAX];
@@ -196,23 +209,26 @@
 	need.request = &entry->request;
 	need.suspect = entry->suspect;
 	need.salt = dispatch->settings.seed ^ entry->request.request;
-	need.online_most = service->settings.server_slots;
-	if (need.online_most == 0)
-		need.online_most = DEFAULT_SLOTS;
+	need.online_max = service->settings.server_slots;
+	if (need.online_max == 0)
+		need.online_max = DEFAULT_SLOTS;
 	need.online_share =
-	    (uint32_t)(((int64_t)need.online_most + dispatch->vms - 1) /
-		dispatch->vms);
+	    (uint32_t)(((int64_t)need.online_max + dispatch->live_vms - 1) /
+		dispatch->live_vms);
 	if (!jj_name_is_empty(&entry->avoid))
 		need.avoid = &entry->avoid;
 	if (entry->suspect) {
-		need.turn =
-		    (uint32_t)((now - entry->queued_ms) / SUSPECT_TURN_MS);
+		need.round =
+		    (uint32_t)((now - entry->queued_ms) / SUSPECT_ROUND_MS);
 		need.self = &dispatch->settings.name;
 		need.vms = infos;
 		need.vm_count = jj_member_list(dispatch->member,
 		    &dispatch->settings.domain, infos, VMS_MAX);
 	}
-	/* Another VM's notice may be newer than the view: look again. */
+	/*
+	 * Another VM may have reported the server's state since the view was
+	 * refreshed, so the fleet is checked again.
+	 */
 	while ((view = jj_server_choose_online(
 		    &service->servers, &need, now)) != NULL) {
 		if (jj_fleet_takes_work(dispatch->fleet, &view->name, now))
@@ -223,8 +239,8 @@
 }
 
 static void
-start(jj_dispatch_t *dispatch, jj_entry_t *entry, jj_server_view_t *view,
-    jj_ms_t now, jj_actions_t *out)
+start_attempt(jj_dispatch_t *dispatch, jj_entry_t *entry,
+    jj_server_view_t *view, jj_ms_t now, jj_actions_t *out)
 {
 	jj_action_t *action = jj_actions_add(out, JJ_ACTION_BACKEND_START);
 
@@ -247,5 +263,5 @@
 	action->body.start.request = entry->request.request;
 	action->body.start.attempt = entry->attempt;
 	action->body.start.server = view->name;
-	dispatch->told_all = false;
+	dispatch->loads_reported = false;
 }
--- a/src/core/dispatch_server.c
+++ b/src/core/dispatch_server.c
@@ -1,6 +1,6 @@
 /**
  * @file dispatch_server.c
- * @brief Keeps the views and scores servers.
+ * @brief Maintains the views of servers and scores them.
  */
 #include <float.h>
 #include <stdlib.h>
@@ -8,33 +8,42 @@
 
 #include "core/dispatch_server.h"
 
-/* Weight of the newest outcome in the share of failures. */
+/* Weight of the newest attempt in a server's failure rate. */
 #define FAILURE_WEIGHT 0.2
-/* A server that fails everything costs this many times more. */
+/* A server that fails all attempts costs this many times more in addition. */
 #define FAILURE_COST 8.0
-/* A server this VM has no gap from is held for an ordinary one. */
+/* Token gap assumed for a server without a measurement. */
 #define DEFAULT_GAP_US 10000.0
-/* Tokens a request is taken to run for when its load cost is weighed. */
+/* Tokens per request assumed when load is converted to cost. */
 #define TYPICAL_TOKENS 4.0
-/* What a cached prefix block saves, microseconds (64 tokens). */
+/* Time that a cached prefix block (64 tokens) saves, microseconds. */
 #define BLOCK_SAVES_US 1500.0
-/* Load at which a server counts as half full when nothing was learned. */
+/*
+ * Minimum limit used for scoring: at a load equal to the limit a server costs
+ * twice as much as an idle one.
+ */
 #define DEFAULT_LIMIT 16.0
-/* A batch item counts as so much of an online request: it gives way, but not
- * before the next step. */
+/*
+ * A batch item counts as this share of an online request: it can be cancelled,
+ * but its slot is free only at the engine's next step.
+ */
 #define BATCH_LOAD 0.7
-/* Where a request failed before is chosen only when nothing else is left. */
+/* The server where a request failed before is the last resort. */
 #define AVOID_COST_US 1e9
-/* Another failure domain is a last resort, too: its own load is unseen. */
+/* So are servers of other failure domains, as their load is not known here. */
 #define REMOTE_COST_US 1e8
-/* No server of another domain costs less, whatever its cache saves. */
-#define REMOTE_LEAST_US (REMOTE_COST_US - JJ_PREFIX_BLOCKS_MAX * BLOCK_SAVES_US)
+/*
+ * Lower bound of the cost of a server of another domain, with every prefix
+ * block cached.
+ */
+#define REMOTE_MIN_US (REMOTE_COST_US - JJ_PREFIX_BLOCKS_MAX * BLOCK_SAVES_US)
 
 static double score(const jj_server_view_t *, const jj_server_need_t *);
 static double spread(const jj_server_view_t *, const jj_server_need_t *);
 static bool is_full(const jj_server_view_t *, const jj_server_need_t *);
-static bool fits_suspect(const jj_server_view_t *, const jj_server_need_t *);
-static bool has_turn(const jj_server_view_t *, const jj_server_need_t *);
+static bool accepts_suspect(const jj_server_view_t *, const jj_server_need_t *);
+static bool
+is_open_in_round(const jj_server_view_t *, const jj_server_need_t *);
 static jj_neighbour_load_t *
 find_neighbour(jj_server_view_t *, const jj_name_t *);
 static void sum_neighbours(jj_server_view_t *);
@@ -75,8 +84,8 @@
 }
 
 /*
- * What a dead or frozen neighbour last said would hold places for ever; its
- * word counts only while it is heard.
+ * The last report of a failed or stalled neighbour would block request slots
+ * for ever, so loads count only while heartbeats arrive from their VM.
  */
 void
 jj_server_view_refresh(jj_server_view_t *view, const jj_member_t *member)
@@ -122,16 +131,16 @@
 void
 jj_server_view_note_prefix(jj_server_view_t *view, uint64_t prefix, bool added)
 {
-	uint64_t *place;
+	uint64_t *slot;
 
 	if (view->prefixes == NULL)
 		view->prefixes =
 		    jj_alloc(JJ_PREFIX_TABLE_SIZE * sizeof(uint64_t));
-	place = &view->prefixes[prefix % JJ_PREFIX_TABLE_SIZE];
+	slot = &view->prefixes[prefix % JJ_PREFIX_TABLE_SIZE];
 	if (added)
-		*place = prefix;
-	else if (*place == prefix)
-		*place = 0;
+		*slot = prefix;
+	else if (*slot == prefix)
+		*slot = 0;
 }
 
 uint32_t
@@ -152,19 +161,19 @@
 jj_server_view_note_broken(
     jj_server_view_t *view, uint64_t fingerprint, jj_ms_t now)
 {
-	uint32_t place = view->broken_count % JJ_BROKEN_MAX;
+	uint32_t slot = view->broken_count % JJ_BROKEN_MAX;
 
 	if (view->broken == NULL)
 		view->broken = jj_alloc(JJ_BROKEN_MAX * sizeof(*view->broken));
-	view->broken[place].fingerprint = fingerprint;
-	view->broken[place].ms = now;
+	view->broken[slot].fingerprint = fingerprint;
+	view->broken[slot].ms = now;
 	view->broken_count++;
 }
 
 bool
 jj_server_view_is_up(const jj_server_view_t *view, jj_ms_t now)
 {
-	return view->listed && view->up && now >= view->rest_until_ms;
+	return view->listed && view->up && now >= view->cooldown_until_ms;
 }
 
 jj_server_view_t *
@@ -174,26 +183,28 @@
 	jj_server_view_t *view;
 	jj_server_view_t *best = NULL;
 	double best_cost = DBL_MAX;
-	bool home_is_up = false;
+	bool local_is_up = false;
 	double cost;
 
 	TAILQ_FOREACH(view, views, link)
 	{
-		if (!view->local && best_cost < REMOTE_LEAST_US)
+		if (!view->local && best_cost < REMOTE_MIN_US)
 			break;
 		if (!jj_server_view_is_up(view, now))
 			continue;
-		home_is_up = home_is_up || view->local;
+		local_is_up = local_is_up || view->local;
 		/*
-		 * Guards an innocent suspect: who runs suspects is told within
-		 * a domain only, so one from abroad would meet it on a server,
-		 * and the next death would be its second.
+		 * Where suspects run is reported within a domain only. A
+		 * suspect from another domain could share a server with a local
+		 * one, and the next crash would be counted against both, also
+		 * the innocent one. So a suspect stays in its domain while a
+		 * local server is up.
 		 */
-		if (need->suspect && !view->local && home_is_up)
+		if (need->suspect && !view->local && local_is_up)
 			break;
 		if (is_full(view, need))
 			continue;
-		if (need->suspect && !fits_suspect(view, need))
+		if (need->suspect && !accepts_suspect(view, need))
 			continue;
 		cost = score(view, need);
 		if (cost < best_cost) {
@@ -211,12 +222,12 @@
 	jj_server_view_t *view;
 	jj_server_view_t *best = NULL;
 	jj_headroom_use_t use;
-	uint32_t best_room = 0;
-	uint32_t room;
+	uint32_t best_capacity = 0;
+	uint32_t capacity;
 
 	TAILQ_FOREACH(view, views, link)
 	{
-		/* Stewards have the servers of their own domain only. */
+		/* A VM is steward of servers of its own domain only. */
 		if (!view->local)
 			break;
 		if (!jj_server_view_is_up(view, now) || !view->steward)
@@ -224,12 +235,12 @@
 		if (need->suspect && view->suspects + view->others_suspects > 0)
 			continue;
 		use = jj_server_view_use(view, service);
-		room = jj_headroom_room(&view->headroom, &use, now);
-		if (room == 0)
+		capacity = jj_headroom_free_slots(&view->headroom, &use, now);
+		if (capacity == 0)
 			continue;
-		room += jj_server_view_match(view, need->request);
-		if (room > best_room) {
-			best_room = room;
+		capacity += jj_server_view_match(view, need->request);
+		if (capacity > best_capacity) {
+			best_capacity = capacity;
 			best = view;
 		}
 	}
@@ -248,8 +259,8 @@
 }
 
 /*
- * Expected microseconds that this server costs more than an idle one: its
- * step time weighed by its load, less the prefill that its cache saves.
+ * Expected cost of the server in microseconds: its step time weighted by its
+ * load, less the prefill time that its cache saves.
  */
 static double
 score(const jj_server_view_t *view, const jj_server_need_t *need)
@@ -274,8 +285,8 @@
 }
 
 /*
- * Up to half a request's load, by chance: VMs that know the same loads would
- * all send their next requests to the same server.
+ * A random load of up to half a request: VMs that know the same loads would
+ * otherwise all send their next requests to the same server.
  */
 static double
 spread(const jj_server_view_t *view, const jj_server_need_t *need)
@@ -287,40 +298,44 @@
 }
 
 /*
- * A flood at the other VMs refills each free place there at once: a VM that
- * runs nothing would never see one free, and its callers would wait for ever.
- * It may always have its share; the others then find the server over full
- * and hold back until all have theirs.
+ * When other VMs are overloaded they refill each free slot at once: a VM that
+ * runs nothing would never find one, and its callers would wait for ever. So
+ * each VM may always use its share; the others then see the server above its
+ * limit and send nothing until all VMs have their share.
  */
 static bool
 is_full(const jj_server_view_t *view, const jj_server_need_t *need)
 {
-	return view->online + view->others_online >= need->online_most &&
+	return view->online + view->others_online >= need->online_max &&
 	    view->online >= need->online_share;
 }
 
 static bool
-fits_suspect(const jj_server_view_t *view, const jj_server_need_t *need)
+accepts_suspect(const jj_server_view_t *view, const jj_server_need_t *need)
 {
 	if (view->suspects + view->others_suspects > 0)
 		return false;
-	/* Where it broke is probably dead: there a retry is wasted. */
-	if (need->turn == 0 && need->avoid != NULL &&
+	/*
+	 * The server where it broke has probably crashed: a retry there would
+	 * be wasted.
+	 */
+	if (need->round == 0 && need->avoid != NULL &&
 	    jj_name_equal(&view->name, need->avoid))
 		return false;
-	return has_turn(view, need);
+	return is_open_in_round(view, need);
 }
 
 /*
- * A server may run one suspect at a time over all VMs: with two, the next
- * death gives an innocent one its second strike. So a suspect goes to servers
- * that this VM is steward of, and, when it has found none free, in the next
- * turn to those that it is second to, and so on: those that broke on the same
- * server wait since the same moment, and in no turn is a server open to two
- * VMs. One that still runs from an earlier turn is told by the loads.
+ * A server may run one suspect at a time, counted over all VMs: with two, the
+ * next crash would be the second one counted against an innocent request. So a
+ * suspect goes first to servers that this VM is steward of, in the next round
+ * to servers for which it is second in the rendezvous order, and so on.
+ * Suspects that broke on the same server wait since the same moment, so in no
+ * round may two VMs use the same server. A suspect that still runs from an
+ * earlier round is known from the loads.
  */
 static bool
-has_turn(const jj_server_view_t *view, const jj_server_need_t *need)
+is_open_in_round(const jj_server_view_t *view, const jj_server_need_t *need)
 {
 	uint64_t own = jj_rendezvous_weight(need->self->text, view->hash);
 	size_t order = 0;
@@ -334,7 +349,7 @@
 		order += jj_rendezvous_weight(
 			     need->vms[i].name.text, view->hash) > own;
 	}
-	return order == need->turn % vms;
+	return order == need->round % vms;
 }
 
 static jj_neighbour_load_t *
--- a/src/core/dispatch_state.h
+++ b/src/core/dispatch_state.h
@@ -1,6 +1,6 @@
 /**
  * @file dispatch_state.h
- * @brief What the parts of the dispatch module share; private to it.
+ * @brief State shared by the dispatch sources; private to the module.
  */
 #ifndef JJ_CORE_DISPATCH_STATE_H
 #define JJ_CORE_DISPATCH_STATE_H
@@ -11,7 +11,7 @@
 
 #define BUCKETS 4096
 #define VIEW_BUCKETS 4096
-/* VMs of one failure domain that are told of things. */
+/* Maximum number of VMs that one message is sent to. */
 #define VMS_MAX 128
 
 TAILQ_HEAD(service_list, jj_service_queue);
@@ -27,30 +27,38 @@
 	struct service_list services;
 	TAILQ_HEAD(, jj_entry) entries;
 	struct bucket buckets[BUCKETS];
-	struct view_bucket view_buckets[VIEW_BUCKETS]; /**< by view's hash */
+	struct view_bucket view_buckets
+	    [VIEW_BUCKETS]; /**< indexed by the hash of the server's name */
 	uint32_t counts[2]; /**< requests by class */
 	uint64_t random;
 	bool leaving;
-	bool told_all; /**< the neighbours know what they need to */
-	uint32_t load_turn; /**< where the next heartbeat's loads begin */
+	bool loads_reported; /**< no load change waits to be reported */
+	uint32_t
+	    next_heartbeat_load; /**< index of the server that the next heartbeat's loads start with */
 	jj_ms_t next_ms;
 	jj_ms_t refresh_ms;
 	uint64_t config_version; /**< of the last refresh */
-	uint64_t fleet_version; /**< that the views show */
-	uint64_t vms_hash; /**< names of the VMs that the views show */
-	bool views_stale; /**< something else than these has changed */
-	bool ended_kept; /**< a server that is gone still has requests */
-	jj_ms_t renew_ms; /**< when the views are renewed in any case */
-	jj_ms_t distant_ms; /**< next look at servers of other domains */
-	int64_t vms; /**< live VMs of the domain, at least 1 */
-	jj_ms_t told_ms;
-	jj_ms_t urgent_ms; /**< when a steward was told last */
+	uint64_t fleet_version; /**< fleet version that the views reflect */
+	uint64_t
+	    vms_hash; /**< hash of the names of the VMs that the views reflect */
+	bool
+	    views_stale; /**< must be refreshed, though neither version nor hash changed */
+	bool
+	    has_unlisted_views; /**< views of servers that left the fleet may exist */
+	jj_ms_t
+	    full_refresh_ms; /**< time of the next unconditional refresh of the views */
+	jj_ms_t
+	    remote_adjust_ms; /**< next headroom adjustment of servers of other domains */
+	int64_t live_vms; /**< live VMs of the domain, at least 1 */
+	jj_ms_t load_report_ms;
+	jj_ms_t
+	    steward_report_ms; /**< time of the last load report to a steward alone */
 };
 
-/** The request in hand with this number, or NULL. */
+/** The queued or in-flight request with this number, or NULL. */
 jj_entry_t *
 jj_dispatch_find_entry(const jj_dispatch_t *dispatch, uint64_t request);
-/** Frees a request that is in no queue and at no server. */
+/** Frees a request that is neither queued nor in flight. */
 void jj_dispatch_free_entry(jj_dispatch_t *dispatch, jj_entry_t *entry);
 /** The service of this name, or NULL. */
 jj_service_queue_t *
@@ -58,76 +66,98 @@
 /** The view of a server and its service, or NULL. */
 jj_server_view_t *jj_dispatch_find_view(const jj_dispatch_t *dispatch,
     const jj_name_t *server, jj_service_queue_t **service);
-/** The view that messages name by this number, or NULL. */
+/** The view of the server with this hash, or NULL. */
 jj_server_view_t *
 jj_dispatch_find_hash(const jj_dispatch_t *dispatch, uint64_t hash);
-/** Brings the views up to date when what they show has changed. */
-void jj_dispatch_renew_views(jj_dispatch_t *dispatch,
+/** Refreshes the views when the data that they reflect has changed. */
+void jj_dispatch_refresh_views(jj_dispatch_t *dispatch,
     const jj_member_info_t *vms, size_t vm_count, jj_ms_t now);
-/** The service's part of the headroom's input. */
+/**
+ * The part of the headroom input that is common to all servers of the service.
+ */
 jj_headroom_use_t jj_dispatch_headroom_use(
     const jj_dispatch_t *dispatch, const jj_service_queue_t *service);
-/** Answers a request that was never taken in; it was not run. */
+/** Answers a request that was not accepted, as not run. */
 void jj_dispatch_refuse(jj_dispatch_t *dispatch, const jj_request_t *request,
     jj_give_up_t reason, jj_ms_t now, jj_actions_t *out);
-/** Ends a request, queued or in flight, with an answer of our own. */
+/** Ends a request, queued or in flight, with an error answer. */
 void jj_dispatch_give_up(jj_dispatch_t *dispatch, jj_entry_t *entry,
     jj_give_up_t reason, jj_ms_t now, jj_actions_t *out);
 /** Queues an online request and sends what can be sent. */
 void jj_dispatch_begin_online(
     jj_dispatch_t *dispatch, jj_entry_t *entry, jj_ms_t now, jj_actions_t *out);
-/** Sends a batch item now or gives it back at once. */
+/** Starts a batch item now, or refuses it when no server has capacity. */
 void jj_dispatch_begin_batch(
     jj_dispatch_t *dispatch, jj_entry_t *entry, jj_ms_t now, jj_actions_t *out);
-/** True when some server of the service takes work. */
+/** True when a server of the service accepts requests. */
 bool jj_dispatch_has_server_up(const jj_service_queue_t *service);
-/** Sends queued requests while servers have places. */
+/** Sends queued requests while servers have free request slots. */
 void jj_dispatch_pump(jj_dispatch_t *dispatch, jj_service_queue_t *service,
     jj_ms_t now, jj_actions_t *out);
-/** Frees the place of a request at its server. */
-void jj_dispatch_leave_server(jj_dispatch_t *dispatch, jj_entry_t *entry);
-/** It may crash servers: held until news of another death has spread. */
+/** Releases the request slot of a request at its server. */
+void jj_dispatch_release_slot(jj_dispatch_t *dispatch, jj_entry_t *entry);
+/**
+ * Marks the request as one that may crash servers, and defers it until reports
+ * of other crashes have reached this VM.
+ */
 void jj_dispatch_mark_suspect(jj_entry_t *entry, jj_ms_t now);
-/** A look showed this server: ends the wait for it. */
-void jj_dispatch_end_look(
-    jj_dispatch_t *dispatch, jj_server_view_t *view, bool died, jj_ms_t now);
-/** An attempt failed: retries the request or gives it up. */
+/**
+ * The state of the server is known, by a probe or a crash report: requests that
+ * waited for it are no longer deferred.
+ */
+void jj_dispatch_end_probe_wait(
+    jj_dispatch_t *dispatch, jj_server_view_t *view, bool crashed, jj_ms_t now);
+/** Handles a failed attempt: retries the request or gives it up. */
 void jj_dispatch_take_failure(jj_dispatch_t *dispatch, jj_entry_t *entry,
     const jj_backend_event_t *event, jj_ms_t now, jj_actions_t *out);
 /**
- * Goes on with a stream whose connection broke, at its own server.
- * @return false when it cannot: the attempt has failed.
+ * Resumes a stream whose connection broke, at the same server.
+ * @return false when that is not possible: the attempt has failed.
  */
 bool jj_dispatch_resume(jj_dispatch_t *dispatch, jj_entry_t *entry,
     const jj_backend_event_t *event, jj_ms_t now, jj_actions_t *out);
-/** Tells the quarantine and the neighbours who was on a dead server. */
+/**
+ * Reports to the quarantine and to the neighbours which requests were in flight
+ * at a crashed server.
+ */
 void jj_dispatch_report_crash(jj_dispatch_t *dispatch, jj_server_view_t *view,
     uint64_t boot, const uint64_t *suspects, uint32_t count, jj_ms_t now,
     jj_actions_t *out);
-/** Fingerprints of what was at a server; returns how many. */
+/**
+ * Collects the fingerprints of the requests that were at a server; returns how
+ * many.
+ */
 uint32_t jj_dispatch_gather_suspects(const jj_dispatch_t *dispatch,
     const jj_server_view_t *view, jj_ms_t now, uint64_t *suspects,
     uint32_t most);
-/** Notes what a server showed and tells the neighbours news. */
+/**
+ * Records the state of a server and notifies the neighbours when it changed.
+ */
 void jj_dispatch_note_server(jj_dispatch_t *dispatch, const jj_name_t *server,
     jj_server_state_t state, uint64_t boot, jj_ms_t now, jj_actions_t *out);
-/** Renews the views from configuration, fleet and membership. */
+/** Updates services and views from configuration, fleet and membership. */
 void jj_dispatch_refresh(jj_dispatch_t *dispatch, jj_ms_t now);
-/** Gives up what cannot meet its deadline. */
+/** Gives up requests that cannot meet their deadline. */
 void jj_dispatch_check_deadlines(
     jj_dispatch_t *dispatch, jj_ms_t now, jj_actions_t *out);
-/** Adjusts limits and withdraws batch that is over them. */
+/** Adjusts the limits and cancels batch items that exceed them. */
 void jj_dispatch_adjust_headroom(
     jj_dispatch_t *dispatch, jj_ms_t now, jj_actions_t *out);
-/** A message to a VM, to be filled in; NULL for this VM itself. */
-jj_message_t *jj_dispatch_tell(jj_actions_t *out, const jj_member_info_t *info,
+/**
+ * Adds a message to a VM, to be filled in by the caller; NULL when the VM is
+ * this one.
+ */
+jj_message_t *
+jj_dispatch_add_message(jj_actions_t *out, const jj_member_info_t *info,
     const jj_dispatch_t *dispatch, jj_message_kind_t kind);
-/** Sends the loads that changed, when it is time. */
-void
-jj_dispatch_tell_loads(jj_dispatch_t *dispatch, jj_ms_t now, jj_actions_t *out);
-/** A neighbour has come: it is told of all that runs. */
-void jj_dispatch_tell_anew(jj_dispatch_t *dispatch);
-/** What this VM runs at a server. */
+/**
+ * Reports changed loads to the neighbours when the minimum spacing has passed.
+ */
+void jj_dispatch_report_loads(
+    jj_dispatch_t *dispatch, jj_ms_t now, jj_actions_t *out);
+/** A neighbour has joined: all loads are reported again. */
+void jj_dispatch_reset_reported(jj_dispatch_t *dispatch);
+/** The number of requests that this VM runs at a server. */
 jj_load_t jj_dispatch_load_of(const jj_server_view_t *view);
 
 #endif
--- a/src/core/dispatch_tell.c
+++ b/src/core/dispatch_tell.c
@@ -1,51 +1,56 @@
 /**
- * @file dispatch_tell.c
- * @brief What the neighbours are told.
+ * @file dispatch_reports.c
+ * @brief Load reports to the neighbours.
  *
- * All that VMs tell each other has to fit their control budget, also in a
- * domain of 14 VMs and 100 servers. A server's steward is told each change,
- * since batch is started and stopped by it; the others only weigh servers.
+ * All messages between VMs have to fit the control budget, also in a domain of
+ * 14 VMs and 100 servers. A server's steward gets each change, as it starts and
+ * cancels batch items by it; the other VMs only use the loads to order servers.
  */
 #include <string.h>
 
 #include "core/dispatch_state.h"
 
 /*
- * Load messages come no closer than this times the square of the domain's
- * VMs: each goes to all of them, and each of them sends some.
+ * Minimum spacing of load messages, multiplied by the square of the number of
+ * VMs in the domain: each message goes to all VMs, and each VM sends some.
  */
-#define TELL_MS 4
-/* That more runs at a server is told to its steward after this. */
-#define URGENT_MS 5
+#define REPORT_SPACING_MS 4
 /*
- * The more VMs share a server, the less does one request of one of them say:
- * from so many VMs on the others are told of changes by two, then by three.
+ * Minimum spacing of reports to a steward that more requests run at its server.
+ */
+#define STEWARD_REPORT_SPACING_MS 5
+/*
+ * The more VMs share a server, the less one request of one of them matters. For
+ * each multiple of this number of VMs, a change must be larger by one to be
+ * reported.
  */
 #define VMS_PER_CHANGE 8
-/* Servers in one heartbeat: all 100 of a domain within some seconds. */
+/*
+ * Loads per heartbeat: all 100 servers of a domain are covered within some
+ * seconds.
+ */
 #define HEARTBEAT_LOADS 8
-/* Used where the configuration leaves it open. */
+/* Default for a value that the configuration does not set. */
 #define DEFAULT_SLOTS 32
-/* A neighbour that has come knows of no load but 0. */
-#define TOLD_NOTHING 0
+/* Loads that a neighbour that has just joined assumes. */
+#define NOTHING_REPORTED 0
 
-static void tell_all(jj_dispatch_t *, jj_actions_t *);
-static bool is_worth_telling(const jj_dispatch_t *, const jj_service_queue_t *,
-    const jj_server_view_t *);
+static void report_to_all(jj_dispatch_t *, jj_actions_t *);
+static bool is_worth_reporting(const jj_dispatch_t *,
+    const jj_service_queue_t *, const jj_server_view_t *);
 static bool
 is_nearly_full(const jj_service_queue_t *, const jj_server_view_t *);
 static uint32_t difference(uint32_t, uint32_t);
-static void note_told(jj_server_view_t *);
-static void tell_stewards(jj_dispatch_t *, bool, jj_ms_t, jj_actions_t *);
+static void mark_reported(jj_server_view_t *);
+static void report_to_stewards(jj_dispatch_t *, bool, jj_ms_t, jj_actions_t *);
 static void
-tell_steward(jj_dispatch_t *, const jj_name_t *, jj_ms_t, jj_actions_t *);
-static bool is_unknown_to_steward(const jj_server_view_t *);
+report_to_steward(jj_dispatch_t *, const jj_name_t *, jj_ms_t, jj_actions_t *);
+static bool is_steward_outdated(const jj_server_view_t *);
 static void
 send_loads(jj_dispatch_t *, const jj_load_t *, uint32_t, jj_actions_t *);
 
-/* A message to a VM, NULL for this one. */
 jj_message_t *
-jj_dispatch_tell(jj_actions_t *out, const jj_member_info_t *info,
+jj_dispatch_add_message(jj_actions_t *out, const jj_member_info_t *info,
     const jj_dispatch_t *dispatch, jj_message_kind_t kind)
 {
 	if (jj_name_equal(&info->name, &dispatch->settings.name))
@@ -54,40 +59,44 @@
 }
 
 /*
- * A server's steward has to know of an online request at once, so that batch
- * gives way (story 14); that one ended may wait until there is more to say.
+ * A server's steward has to know of a new online request at once, so that it
+ * can cancel batch items (story 14). The end of a request may wait for the next
+ * regular report.
  */
 void
-jj_dispatch_tell_loads(jj_dispatch_t *dispatch, jj_ms_t now, jj_actions_t *out)
+jj_dispatch_report_loads(
+    jj_dispatch_t *dispatch, jj_ms_t now, jj_actions_t *out)
 {
-	jj_ms_t pause = TELL_MS * dispatch->vms * dispatch->vms;
+	jj_ms_t spacing_ms =
+	    REPORT_SPACING_MS * dispatch->live_vms * dispatch->live_vms;
 
-	if (dispatch->told_all)
+	if (dispatch->loads_reported)
 		return;
-	if (now - dispatch->told_ms >= pause) {
-		dispatch->told_all = true;
-		dispatch->told_ms = now;
-		tell_all(dispatch, out);
-		tell_stewards(dispatch, false, now, out);
-	} else if (now - dispatch->urgent_ms >= URGENT_MS)
-		tell_stewards(dispatch, true, now, out);
+	if (now - dispatch->load_report_ms >= spacing_ms) {
+		dispatch->loads_reported = true;
+		dispatch->load_report_ms = now;
+		report_to_all(dispatch, out);
+		report_to_stewards(dispatch, false, now, out);
+	} else if (now - dispatch->steward_report_ms >=
+	    STEWARD_REPORT_SPACING_MS)
+		report_to_stewards(dispatch, true, now, out);
 }
 
 void
-jj_dispatch_tell_anew(jj_dispatch_t *dispatch)
+jj_dispatch_reset_reported(jj_dispatch_t *dispatch)
 {
 	jj_service_queue_t *service;
 	jj_server_view_t *view;
 
-	dispatch->told_all = false;
+	dispatch->loads_reported = false;
 	TAILQ_FOREACH(service, &dispatch->services, link)
 	{
 		TAILQ_FOREACH(view, &service->servers, link)
 		{
-			view->told_online = TOLD_NOTHING;
-			view->told_batch = TOLD_NOTHING;
-			view->told_suspects = TOLD_NOTHING;
-			view->steward_online = TOLD_NOTHING;
+			view->reported_online = NOTHING_REPORTED;
+			view->reported_batch = NOTHING_REPORTED;
+			view->reported_suspects = NOTHING_REPORTED;
+			view->steward_reported_online = NOTHING_REPORTED;
 		}
 	}
 }
@@ -115,8 +124,8 @@
 {
 	jj_service_queue_t *service;
 	jj_server_view_t *view;
-	uint32_t turn = dispatch->load_turn;
-	uint32_t place = 0;
+	uint32_t first = dispatch->next_heartbeat_load;
+	uint32_t index = 0;
 	uint32_t count = 0;
 
 	if (most > HEARTBEAT_LOADS)
@@ -127,18 +136,19 @@
 		{
 			if (!view->local)
 				break;
-			if (place++ < turn || count == most)
+			if (index++ < first || count == most)
 				continue;
 			loads[count++] = jj_dispatch_load_of(view);
-			note_told(view);
+			mark_reported(view);
 		}
 	}
-	dispatch->load_turn = turn + count < place ? turn + count : 0;
+	dispatch->next_heartbeat_load =
+	    first + count < index ? first + count : 0;
 	return count;
 }
 
 static void
-tell_all(jj_dispatch_t *dispatch, jj_actions_t *out)
+report_to_all(jj_dispatch_t *dispatch, jj_actions_t *out)
 {
 	jj_load_t loads[JJ_MESSAGE_LOADS_MAX];
 	jj_service_queue_t *service;
@@ -151,38 +161,41 @@
 		{
 			if (!view->local)
 				break;
-			if (!is_worth_telling(dispatch, service, view))
+			if (!is_worth_reporting(dispatch, service, view))
 				continue;
 			if (count == JJ_MESSAGE_LOADS_MAX) {
-				dispatch->told_all = false;
+				dispatch->loads_reported = false;
 				break;
 			}
 			loads[count++] = jj_dispatch_load_of(view);
-			note_told(view);
+			mark_reported(view);
 		}
 	}
 	if (count > 0)
 		send_loads(dispatch, loads, count, out);
 }
 
-/* Smaller changes are left to the heartbeats. */
+/* Smaller changes are reported by the heartbeats. */
 static bool
-is_worth_telling(const jj_dispatch_t *dispatch,
+is_worth_reporting(const jj_dispatch_t *dispatch,
     const jj_service_queue_t *service, const jj_server_view_t *view)
 {
-	uint32_t change = difference(view->online, view->told_online) +
-	    difference(view->batch, view->told_batch);
-	uint32_t least = 1 + (uint32_t)(dispatch->vms / VMS_PER_CHANGE);
+	uint32_t change = difference(view->online, view->reported_online) +
+	    difference(view->batch, view->reported_batch);
+	uint32_t threshold =
+	    1 + (uint32_t)(dispatch->live_vms / VMS_PER_CHANGE);
 
-	/* No other VM may send a suspect there meanwhile (story 27). */
-	if (view->suspects != view->told_suspects)
+	/* No other VM may send a suspect there in the meantime (story 27). */
+	if (view->suspects != view->reported_suspects)
 		return true;
 	if (change > 0 && is_nearly_full(service, view))
 		return true;
-	return change >= least;
+	return change >= threshold;
 }
 
-/* Here one place more or less decides who may send. */
+/*
+ * Near the limit one request more or less decides whether other VMs may send.
+ */
 static bool
 is_nearly_full(const jj_service_queue_t *service, const jj_server_view_t *view)
 {
@@ -200,17 +213,20 @@
 }
 
 static void
-note_told(jj_server_view_t *view)
+mark_reported(jj_server_view_t *view)
 {
-	view->told_online = view->online;
-	view->told_batch = view->batch;
-	view->told_suspects = view->suspects;
-	view->steward_online = view->online;
+	view->reported_online = view->online;
+	view->reported_batch = view->batch;
+	view->reported_suspects = view->suspects;
+	view->steward_reported_online = view->online;
 }
 
-/* Tells stewards of whose servers more runs, or anything else. */
+/*
+ * Reports to stewards at whose servers the online count changed, or with @p
+ * more_only rose.
+ */
 static void
-tell_stewards(
+report_to_stewards(
     jj_dispatch_t *dispatch, bool more_only, jj_ms_t now, jj_actions_t *out)
 {
 	jj_service_queue_t *service;
@@ -222,18 +238,20 @@
 		{
 			if (!view->local)
 				break;
-			if (!is_unknown_to_steward(view) ||
-			    (more_only && view->online < view->steward_online))
+			if (!is_steward_outdated(view) ||
+			    (more_only &&
+				view->online < view->steward_reported_online))
 				continue;
-			tell_steward(dispatch, &view->steward_name, now, out);
+			report_to_steward(
+			    dispatch, &view->steward_name, now, out);
 		}
 	}
 }
 
-/* All that one steward does not know yet, in one message. */
+/* Reports all changes that concern one steward in one message. */
 static void
-tell_steward(jj_dispatch_t *dispatch, const jj_name_t *steward, jj_ms_t now,
-    jj_actions_t *out)
+report_to_steward(jj_dispatch_t *dispatch, const jj_name_t *steward,
+    jj_ms_t now, jj_actions_t *out)
 {
 	jj_message_t *message =
 	    jj_actions_add_message(out, steward, JJ_MESSAGE_LOAD);
@@ -248,23 +266,23 @@
 			if (!view->local)
 				break;
 			if (count == JJ_MESSAGE_LOADS_MAX ||
-			    !is_unknown_to_steward(view) ||
+			    !is_steward_outdated(view) ||
 			    !jj_name_equal(&view->steward_name, steward))
 				continue;
 			message->body.load.loads[count++] =
 			    jj_dispatch_load_of(view);
-			view->steward_online = view->online;
+			view->steward_reported_online = view->online;
 		}
 	}
 	message->body.load.count = count;
-	dispatch->urgent_ms = now;
+	dispatch->steward_report_ms = now;
 }
 
 static bool
-is_unknown_to_steward(const jj_server_view_t *view)
+is_steward_outdated(const jj_server_view_t *view)
 {
 	return !view->steward && !jj_name_is_empty(&view->steward_name) &&
-	    view->online != view->steward_online;
+	    view->online != view->steward_reported_online;
 }
 
 static void
@@ -278,8 +296,8 @@
 	size_t i;
 
 	for (i = 0; i < vm_count; i++) {
-		message =
-		    jj_dispatch_tell(out, &infos[i], dispatch, JJ_MESSAGE_LOAD);
+		message = jj_dispatch_add_message(
+		    out, &infos[i], dispatch, JJ_MESSAGE_LOAD);
 		if (message == NULL)
 			continue;
 		message->body.load.count = count;
--- a/src/core/dispatch_views.c
+++ b/src/core/dispatch_views.c
@@ -1,32 +1,33 @@
 /**
  * @file dispatch_views.c
- * @brief The views of all servers: found by hash, renewed on a change.
+ * @brief The views of all servers: lookup by hash, refresh on changes.
  *
- * A VM lists the servers of all domains, a few thousand, of which it works
- * with a hundred. So nothing may be done for each listed server again and
- * again: views are renewed when the fleet, the configuration or the domain's
- * VMs have changed, and in each service's list the own domain's servers come
- * first, so that whoever needs only these stops at the first other one.
+ * A VM lists the servers of all domains, a few thousand, but works with about a
+ * hundred. So no work may be repeated for each listed server: views are
+ * refreshed only when the fleet, the configuration or the domain's VMs have
+ * changed. In each service's list the servers of this domain come first, so
+ * that code that needs only these stops at the first other one.
  */
 #include <string.h>
 
 #include "core/dispatch_state.h"
 
 /*
- * The views are renewed after this without a change, too: what a lost speaker
- * of another domain last said of a server, and neighbours forgotten since.
+ * The views are also refreshed after this time without a change, as two things
+ * expire without one: the last server state that a lost speaker of another
+ * domain reported, and neighbours that have been forgotten.
  */
-#define RENEW_MS 2000
+#define FULL_REFRESH_MS 2000
 
 static uint64_t hash_names(const jj_member_info_t *, size_t);
-static void renew_all(jj_dispatch_t *, bool, jj_ms_t);
-static void renew_view(jj_dispatch_t *, const jj_server_t *, bool, jj_ms_t);
+static void refresh_all(jj_dispatch_t *, bool, jj_ms_t);
+static void refresh_view(jj_dispatch_t *, const jj_server_t *, bool, jj_ms_t);
 static jj_service_queue_t *
-find_owner(jj_dispatch_t *, const jj_server_view_t *, const jj_server_t *);
+find_service_of(jj_dispatch_t *, const jj_server_view_t *, const jj_server_t *);
 static jj_server_view_t *
 add_view(jj_dispatch_t *, jj_service_queue_t *, const jj_server_t *);
-static void place_view(jj_server_view_t *);
-static void renew_steward(const jj_dispatch_t *, jj_server_view_t *);
+static void insert_view(jj_server_view_t *);
+static void update_steward(const jj_dispatch_t *, jj_server_view_t *);
 static void drop_unlisted(jj_dispatch_t *);
 
 jj_server_view_t *
@@ -65,26 +66,29 @@
 }
 
 void
-jj_dispatch_renew_views(jj_dispatch_t *dispatch, const jj_member_info_t *vms,
+jj_dispatch_refresh_views(jj_dispatch_t *dispatch, const jj_member_info_t *vms,
     size_t vm_count, jj_ms_t now)
 {
 	uint64_t vms_hash = hash_names(vms, vm_count);
 	uint64_t fleet_version = jj_fleet_version(dispatch->fleet);
 	bool all = dispatch->views_stale || vms_hash != dispatch->vms_hash ||
-	    now >= dispatch->renew_ms;
+	    now >= dispatch->full_refresh_ms;
 
 	if (all || fleet_version != dispatch->fleet_version)
-		renew_all(dispatch, all, now);
+		refresh_all(dispatch, all, now);
 	if (all)
-		dispatch->renew_ms = now + RENEW_MS;
+		dispatch->full_refresh_ms = now + FULL_REFRESH_MS;
 	dispatch->views_stale = false;
 	dispatch->vms_hash = vms_hash;
 	dispatch->fleet_version = fleet_version;
-	if (dispatch->ended_kept)
+	if (dispatch->has_unlisted_views)
 		drop_unlisted(dispatch);
 }
 
-/* Whose loads count and who stewards depends on who is live, by name. */
+/*
+ * Which loads count and which VM is steward depends on the names of the live
+ * VMs.
+ */
 static uint64_t
 hash_names(const jj_member_info_t *vms, size_t count)
 {
@@ -97,9 +101,9 @@
 	return hash;
 }
 
-/* With @p all what depends on the VMs as well, not only on the fleet. */
+/* With @p all also refreshes what depends on the VMs, not only on the fleet. */
 static void
-renew_all(jj_dispatch_t *dispatch, bool all, jj_ms_t now)
+refresh_all(jj_dispatch_t *dispatch, bool all, jj_ms_t now)
 {
 	const jj_server_t *servers;
 	jj_service_queue_t *service;
@@ -114,12 +118,12 @@
 	}
 	servers = jj_fleet_list(dispatch->fleet, &count);
 	for (i = 0; i < count; i++)
-		renew_view(dispatch, &servers[i], all, now);
-	dispatch->ended_kept = true;
+		refresh_view(dispatch, &servers[i], all, now);
+	dispatch->has_unlisted_views = true;
 }
 
 static void
-renew_view(
+refresh_view(
     jj_dispatch_t *dispatch, const jj_server_t *server, bool all, jj_ms_t now)
 {
 	jj_service_queue_t *service;
@@ -128,7 +132,7 @@
 	bool local = jj_name_equal(&server->domain, &dispatch->settings.domain);
 	bool moved = view == NULL || view->local != local;
 
-	service = find_owner(dispatch, view, server);
+	service = find_service_of(dispatch, view, server);
 	if (service == NULL)
 		return;
 	if (view == NULL)
@@ -137,17 +141,17 @@
 	view->up = jj_fleet_takes_work(dispatch->fleet, &server->name, now);
 	if (moved) {
 		view->local = local;
-		place_view(view);
+		insert_view(view);
 	}
 	if (!moved && !all)
 		return;
-	renew_steward(dispatch, view);
+	update_steward(dispatch, view);
 	jj_server_view_refresh(view, dispatch->member);
 }
 
 /* The service that the server belongs to now, or NULL. */
 static jj_service_queue_t *
-find_owner(jj_dispatch_t *dispatch, const jj_server_view_t *view,
+find_service_of(jj_dispatch_t *dispatch, const jj_server_view_t *view,
     const jj_server_t *server)
 {
 	if (view != NULL && jj_name_equal(&view->owner->name, &server->service))
@@ -162,7 +166,7 @@
 	jj_server_view_t *view = jj_server_view_create(server);
 
 	jj_headroom_reset(&view->headroom, dispatch->settings.batch_start);
-	view->limit_told = dispatch->settings.batch_start;
+	view->logged_limit = dispatch->settings.batch_start;
 	view->owner = service;
 	TAILQ_INSERT_TAIL(&service->servers, view, link);
 	LIST_INSERT_HEAD(&dispatch->view_buckets[view->hash % VIEW_BUCKETS],
@@ -170,9 +174,9 @@
 	return view;
 }
 
-/* The own domain's first, each kind in the order in which it came. */
+/* Servers of this domain come first; otherwise in order of arrival. */
 static void
-place_view(jj_server_view_t *view)
+insert_view(jj_server_view_t *view)
 {
 	jj_server_views_t *views = &view->owner->servers;
 	jj_server_view_t *other;
@@ -194,7 +198,7 @@
 }
 
 static void
-renew_steward(const jj_dispatch_t *dispatch, jj_server_view_t *view)
+update_steward(const jj_dispatch_t *dispatch, jj_server_view_t *view)
 {
 	jj_name_t before = view->steward_name;
 
@@ -205,9 +209,9 @@
 		    &view->steward_name);
 	view->steward =
 	    jj_name_equal(&view->steward_name, &dispatch->settings.name);
-	/* The new one knows no more than all neighbours do. */
+	/* The new steward knows only what was reported to all neighbours. */
 	if (!jj_name_equal(&view->steward_name, &before))
-		view->steward_online = view->told_online;
+		view->steward_reported_online = view->reported_online;
 }
 
 static void
@@ -217,7 +221,7 @@
 	jj_server_view_t *view;
 	jj_server_view_t *next;
 
-	dispatch->ended_kept = false;
+	dispatch->has_unlisted_views = false;
 	TAILQ_FOREACH(service, &dispatch->services, link)
 	{
 		for (view = TAILQ_FIRST(&service->servers); view != NULL;
@@ -226,7 +230,7 @@
 			if (view->listed)
 				continue;
 			if (view->online + view->batch > 0) {
-				dispatch->ended_kept = true;
+				dispatch->has_unlisted_views = true;
 				continue;
 			}
 			TAILQ_REMOVE(&service->servers, view, link);
--- a/src/core/quarantine.c
+++ b/src/core/quarantine.c
@@ -1,6 +1,6 @@
 /**
  * @file quarantine.c
- * @brief Strikes and refusals by request fingerprint, in bounded memory.
+ * @brief Crash counts and refusals by request fingerprint, in bounded memory.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -10,25 +10,27 @@
 
 /** Buckets of the table by fingerprint; a power of two. */
 #define BUCKETS 4096
-/** Deaths remembered per fingerprint; at least the strikes' limit. */
-#define DEATHS_MAX JJ_MESSAGE_DEATHS_MAX
-/** Reports of a death whose boot is unknown are one death for so long. */
+/** Crashes stored per fingerprint; at least the setting `strikes`. */
+#define CRASHES_MAX JJ_MESSAGE_DEATHS_MAX
+/**
+ * Reports of a crash without a known boot id count as one crash for this time.
+ */
 #define UNKNOWN_BOOT_MS 5000
 
-/** One backend server's end. */
+/** One crash of a backend server. */
 typedef struct {
 	uint64_t id; /**< hash of server and boot */
 	jj_ms_t at_ms;
-} death_t;
+} server_crash_t;
 
 typedef struct suspect {
 	LIST_ENTRY(suspect) bucket;
 	TAILQ_ENTRY(suspect) queue;
 	uint64_t fingerprint;
-	uint32_t strikes;
-	jj_ms_t struck_ms; /**< last strike */
+	uint32_t crash_count;
+	jj_ms_t last_crash_ms; /**< time of the last crash */
 	bool refused;
-	death_t deaths[DEATHS_MAX];
+	server_crash_t crashes[CRASHES_MAX];
 } suspect_t;
 
 TAILQ_HEAD(suspect_queue, suspect);
@@ -37,7 +39,10 @@
 struct jj_quarantine {
 	jj_quarantine_settings_t settings;
 	size_t count;
-	/* Both ordered by last strike, so that what lapses is at the head. */
+	/*
+	 * Both in order of the last crash, so that expired entries are at the
+	 * head.
+	 */
 	struct suspect_queue suspects;
 	struct suspect_queue refused;
 	struct suspect_bucket buckets[BUCKETS];
@@ -46,13 +51,13 @@
 static suspect_t *find_suspect(const jj_quarantine_t *, uint64_t);
 static suspect_t *add_suspect(jj_quarantine_t *, uint64_t);
 static void drop_suspect(jj_quarantine_t *, suspect_t *);
-static void forgive(jj_quarantine_t *, suspect_t *);
-static void drop_lapsed(jj_quarantine_t *, struct suspect_queue *, jj_ms_t);
+static void reset_suspect(jj_quarantine_t *, suspect_t *);
+static void drop_expired(jj_quarantine_t *, struct suspect_queue *, jj_ms_t);
 static struct suspect_queue *queue_of(jj_quarantine_t *, const suspect_t *);
-static bool is_lapsed(const jj_quarantine_t *, const suspect_t *, jj_ms_t);
-static bool is_counted(const suspect_t *, const death_t *, bool);
-static bool strike(jj_quarantine_t *, uint64_t, const death_t *, bool,
-    const char *, jj_actions_t *);
+static bool is_expired(const jj_quarantine_t *, const suspect_t *, jj_ms_t);
+static bool is_counted(const suspect_t *, const server_crash_t *, bool);
+static bool count_crash(jj_quarantine_t *, uint64_t, const server_crash_t *,
+    bool, const char *, jj_actions_t *);
 static size_t list_queue(const jj_quarantine_t *, const struct suspect_queue *,
     jj_ms_t, jj_struck_t *, size_t);
 static jj_struck_t describe(const suspect_t *, jj_ms_t);
@@ -63,7 +68,8 @@
 	jj_quarantine_t *quarantine = jj_alloc(sizeof(*quarantine));
 	size_t i;
 
-	JJ_INVARIANT(settings->strikes >= 1 && settings->strikes <= DEATHS_MAX);
+	JJ_INVARIANT(
+	    settings->strikes >= 1 && settings->strikes <= CRASHES_MAX);
 	JJ_INVARIANT(settings->most >= 1);
 	quarantine->settings = *settings;
 	TAILQ_INIT(&quarantine->suspects);
@@ -93,7 +99,7 @@
 {
 	const suspect_t *suspect = find_suspect(quarantine, fingerprint);
 
-	if (suspect == NULL || is_lapsed(quarantine, suspect, now))
+	if (suspect == NULL || is_expired(quarantine, suspect, now))
 		return JJ_QUARANTINE_CLEAN;
 	return suspect->refused ? JJ_QUARANTINE_REFUSED : JJ_QUARANTINE_SUSPECT;
 }
@@ -102,13 +108,13 @@
 jj_quarantine_take_crash(jj_quarantine_t *quarantine, const jj_crash_t *crash,
     jj_ms_t now, jj_actions_t *out)
 {
-	death_t death = {0, now};
+	server_crash_t server_crash = {0, now};
 	uint32_t i;
 
-	death.id = jj_hash_bytes(
+	server_crash.id = jj_hash_bytes(
 	    crash->server.text, strlen(crash->server.text), crash->boot);
 	for (i = 0; i < crash->suspect_count; i++)
-		(void)strike(quarantine, crash->suspects[i], &death,
+		(void)count_crash(quarantine, crash->suspects[i], &server_crash,
 		    crash->boot != 0, crash->server.text, out);
 }
 
@@ -125,23 +131,24 @@
 }
 
 bool
-jj_quarantine_take_struck(jj_quarantine_t *quarantine,
+jj_quarantine_take_history(jj_quarantine_t *quarantine,
     const jj_struck_t *entries, size_t count, jj_ms_t now, jj_actions_t *out)
 {
-	bool news = false;
-	death_t death;
+	bool changed = false;
+	server_crash_t server_crash;
 	uint32_t k;
 	size_t i;
 
 	for (i = 0; i < count; i++) {
-		death.at_ms = now - entries[i].age_ms;
+		server_crash.at_ms = now - entries[i].age_ms;
 		for (k = 0; k < entries[i].death_count; k++) {
-			death.id = entries[i].deaths[k];
-			news |= strike(quarantine, entries[i].fingerprint,
-			    &death, true, "told", out);
+			server_crash.id = entries[i].deaths[k];
+			changed |=
+			    count_crash(quarantine, entries[i].fingerprint,
+				&server_crash, true, "told", out);
 		}
 	}
-	return news;
+	return changed;
 }
 
 void
@@ -161,7 +168,7 @@
 
 	TAILQ_FOREACH(suspect, &quarantine->refused, queue)
 	{
-		count += !is_lapsed(quarantine, suspect, now);
+		count += !is_expired(quarantine, suspect, now);
 	}
 	return count;
 }
@@ -169,8 +176,8 @@
 void
 jj_quarantine_tick(jj_quarantine_t *quarantine, jj_ms_t now)
 {
-	drop_lapsed(quarantine, &quarantine->suspects, now);
-	drop_lapsed(quarantine, &quarantine->refused, now);
+	drop_expired(quarantine, &quarantine->suspects, now);
+	drop_expired(quarantine, &quarantine->refused, now);
 }
 
 static suspect_t *
@@ -187,8 +194,10 @@
 	return NULL;
 }
 
-/* A flood of crashes must not grow this table for ever: the oldest suspect
- * gives way, and a refused request only when there is nothing else. */
+/*
+ * The table must not grow without bound when many servers crash: the oldest
+ * suspect is dropped, and a refused request only when there is no suspect.
+ */
 static suspect_t *
 add_suspect(jj_quarantine_t *quarantine, uint64_t fingerprint)
 {
@@ -219,14 +228,14 @@
 }
 
 static void
-drop_lapsed(
+drop_expired(
     jj_quarantine_t *quarantine, struct suspect_queue *queue, jj_ms_t now)
 {
 	suspect_t *suspect;
 	suspect_t *next;
 
 	for (suspect = TAILQ_FIRST(queue); suspect != NULL; suspect = next) {
-		if (!is_lapsed(quarantine, suspect, now))
+		if (!is_expired(quarantine, suspect, now))
 			return;
 		next = TAILQ_NEXT(suspect, queue);
 		drop_suspect(quarantine, suspect);
@@ -239,69 +248,78 @@
 	return suspect->refused ? &quarantine->refused : &quarantine->suspects;
 }
 
-/* Its time is over, though no tick has dropped it yet. */
+/* The entry has expired, though no tick has dropped it yet: resets it. */
 static void
-forgive(jj_quarantine_t *quarantine, suspect_t *suspect)
+reset_suspect(jj_quarantine_t *quarantine, suspect_t *suspect)
 {
 	TAILQ_REMOVE(queue_of(quarantine, suspect), suspect, queue);
-	suspect->strikes = 0;
+	suspect->crash_count = 0;
 	suspect->refused = false;
 	TAILQ_INSERT_TAIL(&quarantine->suspects, suspect, queue);
 }
 
 static bool
-is_lapsed(
+is_expired(
     const jj_quarantine_t *quarantine, const suspect_t *suspect, jj_ms_t now)
 {
 	jj_ms_t lasts = suspect->refused ? quarantine->settings.quarantine_ms
 					 : quarantine->settings.suspect_ms;
 
-	return now - suspect->struck_ms >= lasts;
+	return now - suspect->last_crash_ms >= lasts;
 }
 
-/* Each neighbour that had requests on the dead server reports its death.
- * Counted twice, one crash would refuse every request that was there. */
+/*
+ * Each neighbour that had requests on the crashed server reports the crash. If
+ * each report counted, one crash would refuse every request that was there.
+ */
 static bool
-is_counted(const suspect_t *suspect, const death_t *death, bool boot_known)
+is_counted(const suspect_t *suspect, const server_crash_t *server_crash,
+    bool boot_known)
 {
 	uint32_t i;
 
-	for (i = 0; i < suspect->strikes && i < DEATHS_MAX; i++) {
-		if (suspect->deaths[i].id != death->id)
+	for (i = 0; i < suspect->crash_count && i < CRASHES_MAX; i++) {
+		if (suspect->crashes[i].id != server_crash->id)
 			continue;
 		if (boot_known ||
-		    death->at_ms - suspect->deaths[i].at_ms < UNKNOWN_BOOT_MS)
+		    server_crash->at_ms - suspect->crashes[i].at_ms <
+			UNKNOWN_BOOT_MS)
 			return true;
 	}
 	return false;
 }
 
-/** False when the death, or enough of them, was known. */
+/**
+ * Counts a crash against a request.
+ * @return false when the crash was counted already or the request is refused.
+ */
 static bool
-strike(jj_quarantine_t *quarantine, uint64_t fingerprint, const death_t *death,
-    bool boot_known, const char *server, jj_actions_t *out)
+count_crash(jj_quarantine_t *quarantine, uint64_t fingerprint,
+    const server_crash_t *server_crash, bool boot_known, const char *server,
+    jj_actions_t *out)
 {
 	suspect_t *suspect = find_suspect(quarantine, fingerprint);
 
 	if (suspect == NULL)
 		suspect = add_suspect(quarantine, fingerprint);
-	else if (is_lapsed(quarantine, suspect, death->at_ms))
-		forgive(quarantine, suspect);
-	if (suspect->refused || is_counted(suspect, death, boot_known))
+	else if (is_expired(quarantine, suspect, server_crash->at_ms))
+		reset_suspect(quarantine, suspect);
+	if (suspect->refused || is_counted(suspect, server_crash, boot_known))
 		return false;
-	suspect->deaths[suspect->strikes] = *death;
-	suspect->strikes++;
+	suspect->crashes[suspect->crash_count] = *server_crash;
+	suspect->crash_count++;
 	TAILQ_REMOVE(queue_of(quarantine, suspect), suspect, queue);
-	/* One told later of an older death stays as young as it is. */
-	if (death->at_ms > suspect->struck_ms || suspect->strikes == 1)
-		suspect->struck_ms = death->at_ms;
-	suspect->refused = suspect->strikes >= quarantine->settings.strikes;
+	/* A late report of an older crash does not make the entry older. */
+	if (server_crash->at_ms > suspect->last_crash_ms ||
+	    suspect->crash_count == 1)
+		suspect->last_crash_ms = server_crash->at_ms;
+	suspect->refused = suspect->crash_count >= quarantine->settings.strikes;
 	TAILQ_INSERT_TAIL(queue_of(quarantine, suspect), suspect, queue);
 	jj_actions_add_event(out,
 	    suspect->refused ? "request_quarantined" : "request_struck",
 	    "fingerprint=%016llx strikes=%u server=%s death=%016llx",
-	    (unsigned long long)fingerprint, suspect->strikes, server,
-	    (unsigned long long)death->id);
+	    (unsigned long long)fingerprint, suspect->crash_count, server,
+	    (unsigned long long)server_crash->id);
 	return true;
 }
 
@@ -316,7 +334,7 @@
 	{
 		if (count == most)
 			break;
-		if (!is_lapsed(quarantine, suspect, now))
+		if (!is_expired(quarantine, suspect, now))
 			entries[count++] = describe(suspect, now);
 	}
 	return count;
@@ -329,9 +347,9 @@
 	uint32_t i;
 
 	entry.fingerprint = suspect->fingerprint;
-	entry.age_ms = now - suspect->struck_ms;
-	entry.death_count = suspect->strikes;
-	for (i = 0; i < suspect->strikes; i++)
-		entry.deaths[i] = suspect->deaths[i].id;
+	entry.age_ms = now - suspect->last_crash_ms;
+	entry.death_count = suspect->crash_count;
+	for (i = 0; i < suspect->crash_count; i++)
+		entry.deaths[i] = suspect->crashes[i].id;
 	return entry;
 }
--- a/src/core/retry.c
+++ b/src/core/retry.c
@@ -1,10 +1,10 @@
 /**
  * @file retry.c
- * @brief Doubling waits between the tries of one platform call.
+ * @brief Exponential backoff between the attempts of one platform call.
  */
 #include "core/retry.h"
 
-/* Doublings of the wait after which it grows no further. */
+/* Maximum number of times the wait is doubled. */
 #define DOUBLINGS_MAX 10
 
 bool
--- a/src/core/retry_budget.c
+++ b/src/core/retry_budget.c
@@ -1,6 +1,6 @@
 /**
  * @file retry_budget.c
- * @brief Two sliding counts and their ratio.
+ * @brief Sliding-window counts of first attempts and retries, and their ratio.
  */
 #include "core/retry_budget.h"
 
--- a/src/core/slots.c
+++ b/src/core/slots.c
@@ -1,52 +1,64 @@
 /**
  * @file slots.c
- * @brief The servers that are listed, and what is known of each.
+ * @brief The list of servers and their state.
  */
 #include <stdlib.h>
 #include <string.h>
 
 #include "core/slots_state.h"
 
-/* A first event this young stands against another VM's failure, ms. */
-#define DOUBT_AFTER_MS 300
+/*
+ * A first event within this time, ms, outweighs a failure that another VM
+ * reports.
+ */
+#define RECENT_ANSWER_MS 300
 
-/* How far the mean of the waits for a first event moves with each one. */
-#define FIRST_SHARE 0.2
+/* Weight of the newest wait in the mean wait for a first event. */
+#define FIRST_WAIT_WEIGHT 0.2
 
-/* Of the times that requests run there, likewise; they differ by themselves. */
-#define HOLD_SHARE 0.1
-/* First and longest rest after a failure, ms. */
-#define REST_MS 200
-#define REST_MOST_MS 3000
+/*
+ * Weight of the newest service time in its mean; service times vary by nature.
+ */
+#define SERVICE_TIME_WEIGHT 0.1
+/* First and longest cool-down after a failure, ms. */
+#define COOLDOWN_FIRST_MS 200
+#define COOLDOWN_MAX_MS 3000
 
-/* Rest after a refusal that names no time: about one step of its queue, ms. */
-#define REFUSAL_REST_MS 50
+/*
+ * Cool-down after a refusal without Retry-After: about one step of the server's
+ * queue, ms.
+ */
+#define REFUSAL_COOLDOWN_MS 50
 
 /*
- * An entry of an earlier start that stands for so long is true, ms: a server
- * writes its entry anew each 1,200 ms, and is taken for gone after three times
- * that without a word.
+ * An entry with an earlier start that stays this long is valid, ms: a server
+ * renews its entry every 1,200 ms and counts as gone after three missed
+ * renewals.
  */
-#define CLAIM_MS 4000
+#define OLD_START_ACCEPT_MS 4000
 
-/* One of so many servers or more, and not one alone, are missing at once: their
- * entries lapsed. Of nine servers two leave together now and then, three
- * hardly. */
-#define LAPSED_PART 3
-/* Batch leaves a crowded server alone for about as long as an online request
- * holds a place, ms. */
-#define CROWDED_REST_MS 500
+/*
+ * When at least one in this many servers is missing at once, and not a single
+ * one alone, their entries have expired. Of nine servers two sometimes leave
+ * together, three hardly ever.
+ */
+#define EXPIRED_PART 3
+/*
+ * Batch avoids a crowded server for about the service time of an online
+ * request, ms.
+ */
+#define CROWDED_AVOID_MS 500
 
 static jj_slot_server_t *add_server(jj_slots_t *, const jj_slot_info_t *);
 static void set_info(jj_slots_t *, jj_slot_server_t *, const jj_slot_info_t *);
 static jj_slot_server_t *replace_server(
     jj_slots_t *, jj_slot_server_t *, const jj_slot_info_t *, jj_ms_t);
 static void unlist(jj_slot_server_t *, jj_ms_t);
-static void judge_missing(jj_slots_t *, jj_ms_t);
+static void classify_missing(jj_slots_t *, jj_ms_t);
 static bool is_missing(const jj_slot_server_t *, jj_ms_t);
 static uint64_t hash_of(const jj_slot_info_t *);
 static void remove_server(jj_slots_t *, jj_slot_server_t *);
-static bool is_known(const jj_slot_server_t *);
+static bool is_complete(const jj_slot_server_t *);
 
 jj_slots_t *
 jj_slots_create(const jj_slots_settings_t *settings)
@@ -54,7 +66,7 @@
 	jj_slots_t *slots = jj_alloc(sizeof(*slots));
 
 	slots->settings = *settings;
-	slots->turn = settings->seed;
+	slots->sequence = settings->seed;
 	slots->near_vms = 1;
 	TAILQ_INIT(&slots->servers);
 	slots->by_hash = g_hash_table_new(g_int64_hash, g_int64_equal);
@@ -84,10 +96,10 @@
 		return JJ_SLOTS_NEW;
 	}
 	if (info->started_ms < server->info.started_ms) {
-		if (!server->claimed)
-			server->claimed_ms = now;
-		server->claimed = true;
-		server->claim = *info;
+		if (!server->has_old_start)
+			server->old_start_ms = now;
+		server->has_old_start = true;
+		server->old_start_info = *info;
 		unlist(server, now);
 		return JJ_SLOTS_OLD_START;
 	}
@@ -100,23 +112,24 @@
 }
 
 /**
- * Guards against a server that is lost for good because its clock was set back
- * before it started again. The word of a process that is gone, carried out
- * late, is put right by the next one of the process that lives; one that
- * nobody puts right is true.
+ * Guards against a server that stays unusable because its clock was set back
+ * before it restarted. A late write of a process that is gone is overwritten by
+ * the next renewal of the live process; an entry that is not overwritten is
+ * valid.
  */
 jj_slot_server_t *
 jj_slots_settle_claim(jj_slots_t *slots, jj_ms_t now)
 {
 	jj_slot_server_t *server;
-	jj_slot_info_t claim;
+	jj_slot_info_t old_start_info;
 
 	TAILQ_FOREACH(server, &slots->servers, link)
 	{
-		if (!server->claimed || now - server->claimed_ms < CLAIM_MS)
+		if (!server->has_old_start ||
+		    now - server->old_start_ms < OLD_START_ACCEPT_MS)
 			continue;
-		claim = server->claim;
-		return replace_server(slots, server, &claim, now);
+		old_start_info = server->old_start_info;
+		return replace_server(slots, server, &old_start_info, now);
 	}
 	return NULL;
 }
@@ -144,7 +157,7 @@
 		if (!server->listed && server->unlisted_ms == JJ_MS_NEVER)
 			unlist(server, until);
 	}
-	judge_missing(slots, now);
+	classify_missing(slots, now);
 }
 
 void
@@ -154,11 +167,13 @@
 
 	if (server == NULL)
 		return;
-	server->claimed = false;
-	/* One that is gone already stays so: its time is not begun anew. */
-	if (server->listed || until < server->lapsed_until_ms)
+	server->has_old_start = false;
+	/*
+	 * For a server that is missing already, the deadline is not extended.
+	 */
+	if (server->listed || until < server->relist_until_ms)
 		unlist(server, until);
-	judge_missing(slots, now);
+	classify_missing(slots, now);
 }
 
 void
@@ -171,7 +186,7 @@
 	     server = next) {
 		next = TAILQ_NEXT(server, link);
 		if (!server->listed && now >= server->unlisted_ms &&
-		    now >= server->lapsed_until_ms && !server->claimed &&
+		    now >= server->relist_until_ms && !server->has_old_start &&
 		    server->online + server->batch == 0)
 			remove_server(slots, server);
 	}
@@ -219,7 +234,7 @@
 bool
 jj_slot_server_is_up(const jj_slot_server_t *server, jj_ms_t now)
 {
-	return is_known(server) && !server->info.draining &&
+	return is_complete(server) && !server->info.draining &&
 	    (server->listed || now < server->unlisted_ms) &&
 	    now >= server->rest_until_ms;
 }
@@ -257,49 +272,55 @@
 	if (server->first_ms == 0)
 		server->first_ms = (double)wait_ms + 1;
 	else
-		server->first_ms +=
-		    FIRST_SHARE * ((double)wait_ms + 1 - server->first_ms);
+		server->first_ms += FIRST_WAIT_WEIGHT *
+		    ((double)wait_ms + 1 - server->first_ms);
 }
 
 void
-jj_slots_note_hold(jj_slot_server_t *server, jj_ms_t hold_ms)
+jj_slots_note_hold(jj_slot_server_t *server, jj_ms_t service_ms)
 {
-	if (server->hold_ms == 0)
-		server->hold_ms = (double)hold_ms;
-	server->hold_ms += HOLD_SHARE * ((double)hold_ms - server->hold_ms);
+	if (server->service_ms == 0)
+		server->service_ms = (double)service_ms;
+	server->service_ms +=
+	    SERVICE_TIME_WEIGHT * ((double)service_ms - server->service_ms);
 }
 
 bool
 jj_slots_note_failure(jj_slot_server_t *server, jj_ms_t now)
 {
-	jj_ms_t rest = REST_MOST_MS;
+	jj_ms_t cooldown_ms = COOLDOWN_MAX_MS;
 
-	/* Failures of one moment are one: they broke together. */
+	/*
+	 * Failures during a cool-down count as one: they have the same cause.
+	 */
 	if (now < server->rest_until_ms)
 		return false;
 	if (server->failures < 4)
-		rest = (jj_ms_t)REST_MS << server->failures;
+		cooldown_ms = (jj_ms_t)COOLDOWN_FIRST_MS << server->failures;
 	server->failures++;
-	server->rest_until_ms = now + rest;
+	server->rest_until_ms = now + cooldown_ms;
 	return true;
 }
 
 void
 jj_slots_note_doubt(jj_slot_server_t *server, jj_ms_t now)
 {
-	if (server->failures > 0 || now - server->answered_ms < DOUBT_AFTER_MS)
+	if (server->failures > 0 ||
+	    now - server->answered_ms < RECENT_ANSWER_MS)
 		return;
 	server->failures = 1;
-	server->rest_until_ms = now + REST_MS;
+	server->rest_until_ms = now + COOLDOWN_FIRST_MS;
 }
 
 void
-jj_slots_note_refusal(jj_slot_server_t *server, jj_ms_t rest_ms, jj_ms_t now)
+jj_slots_note_refusal(
+    jj_slot_server_t *server, jj_ms_t cooldown_ms, jj_ms_t now)
 {
-	jj_ms_t until = now + (rest_ms > 0 ? rest_ms : REFUSAL_REST_MS);
+	jj_ms_t until =
+	    now + (cooldown_ms > 0 ? cooldown_ms : REFUSAL_COOLDOWN_MS);
 
-	if (rest_ms > REST_MOST_MS)
-		until = now + REST_MOST_MS;
+	if (cooldown_ms > COOLDOWN_MAX_MS)
+		until = now + COOLDOWN_MAX_MS;
 	if (until > server->rest_until_ms)
 		server->rest_until_ms = until;
 }
@@ -307,16 +328,16 @@
 void
 jj_slots_note_crowded(jj_slot_server_t *server, jj_ms_t now)
 {
-	server->crowded_until_ms = now + CROWDED_REST_MS;
+	server->crowded_until_ms = now + CROWDED_AVOID_MS;
 }
 
 static bool
-is_known(const jj_slot_server_t *server)
+is_complete(const jj_slot_server_t *server)
 {
 	return server->info.address[0] != '\0' && server->info.slots > 0;
 }
 
-/** A process of which nothing is known but its entry. */
+/** Adds a process of which only its entry is known. */
 static jj_slot_server_t *
 add_server(jj_slots_t *slots, const jj_slot_info_t *info)
 {
@@ -336,17 +357,17 @@
 	server->info = *info;
 	server->local = jj_name_equal(&info->domain, &slots->settings.domain);
 	server->listed = true;
-	server->claimed = false;
+	server->has_old_start = false;
 }
 
-/** The process before takes nothing more; what this VM has there ends. */
+/** The previous process gets no new requests; those of this VM there end. */
 static jj_slot_server_t *
 replace_server(jj_slots_t *slots, jj_slot_server_t *server,
     const jj_slot_info_t *info, jj_ms_t now)
 {
 	server->replaced = true;
 	server->replaced_ms = now;
-	server->claimed = false;
+	server->has_old_start = false;
 	unlist(server, now);
 	return add_server(slots, info);
 }
@@ -356,38 +377,39 @@
 {
 	server->listed = false;
 	server->unlisted_ms = until;
-	server->lapsed_until_ms = until;
+	server->relist_until_ms = until;
 }
 
 /**
- * Guards both ways. In an outage of the list entries lapse though their servers
- * live: taken for gone, a whole fleet is, and a VM whose look hung all the while
- * does not know of the outage. But a server may leave without a word, and is
- * not to be sent work for longer than it serves. An outage that is long enough
- * for one entry to lapse is so for most, so a few that are missing have left;
- * those that had said so are not missing.
+ * Decides between two cases. In an outage of the list entries expire though
+ * their servers live: if they counted as gone, all servers would be lost, and a
+ * VM whose poll hung during the outage does not know of it. But a server may
+ * also leave without notice, and must not get requests for longer than it
+ * serves. An outage long enough for one entry to expire affects most of them,
+ * so a few missing servers have left. Servers that announced their leaving are
+ * not counted as missing.
  */
 static void
-judge_missing(jj_slots_t *slots, jj_ms_t now)
+classify_missing(jj_slots_t *slots, jj_ms_t now)
 {
 	jj_slot_server_t *server;
 	uint32_t missing = 0;
 	uint32_t listed = 0;
-	bool lapsed;
+	bool expired;
 
 	TAILQ_FOREACH(server, &slots->servers, link)
 	{
 		listed += server->listed;
 		missing += is_missing(server, now);
 	}
-	lapsed = listed == 0 ||
-	    (missing > 1 && missing * LAPSED_PART >= missing + listed);
+	expired = listed == 0 ||
+	    (missing > 1 && missing * EXPIRED_PART >= missing + listed);
 	TAILQ_FOREACH(server, &slots->servers, link)
 	{
 		if (!is_missing(server, now))
 			continue;
-		if (lapsed)
-			server->unlisted_ms = server->lapsed_until_ms;
+		if (expired)
+			server->unlisted_ms = server->relist_until_ms;
 		else if (server->unlisted_ms > now)
 			server->unlisted_ms = now;
 	}
@@ -397,10 +419,10 @@
 is_missing(const jj_slot_server_t *server, jj_ms_t now)
 {
 	return !server->listed && !server->info.draining &&
-	    now < server->lapsed_until_ms;
+	    now < server->relist_until_ms;
 }
 
-/** Other VMs mean a process by it, not whatever has the id. */
+/** In messages between VMs the hash identifies a process, not just an id. */
 static uint64_t
 hash_of(const jj_slot_info_t *info)
 {
--- a/src/core/slots_choose.c
+++ b/src/core/slots_choose.c
@@ -1,65 +1,75 @@
 /**
  * @file slots_choose.c
- * @brief Which server a request or an item goes to.
+ * @brief Which server a request or a batch item goes to.
  */
 #include "core/slots_state.h"
 
 /*
- * What each step away from an empty place costs, in requests that wait
- * before one: to have a batch item of this VM cut (its place is free within a
- * step of the engine), one of a neighbour (a message later), and to leave the
- * failure domain (the way is a few ms, and less is known of the loads there).
+ * Cost of each alternative to a free slot, in units of requests that wait
+ * ahead: cancelling a batch item of this VM (its slot is free within a step of
+ * the engine), cancelling one of a neighbour (one message later), and leaving
+ * the failure domain (a few ms of network delay, and the loads there are less
+ * known).
  */
-#define COST_CUT_OWN 0.2
-#define COST_CUT_OTHER 0.4
-#define COST_ABROAD 0.9
+#define COST_CANCEL_OWN 0.2
+#define COST_CANCEL_OTHER 0.4
+#define COST_REMOTE 0.9
 
-/* Equal costs differ by up to this. */
+/* Random part of a cost, so that equal costs differ. */
 #define COST_SPREAD 0.003
 
-/* A server whose last word was a failure: better to have an item cut than to
- * wait for a connection that may not come, worse to wait behind a request. */
-#define COST_DOUBTED 0.8
+/*
+ * A server whose last attempt failed: cancelling a batch item is better than to
+ * wait for a connection that may not come, waiting behind a request is worse.
+ */
+#define COST_FAILED 0.8
 
-/* Of a server where the request failed before: only if there is no other. */
+/*
+ * The server where the request failed before is used only if there is no other.
+ */
 #define COST_AVOIDED 1000.0
 
-/* A connection that is not answered yet may be to a server that is dark. */
+/* A connection that is not answered yet may go to an unreachable server. */
 #define COST_OPEN_CONNECT 0.3
 
-/* A server this many times slower than the fastest counts so much fuller. */
-#define SLOWNESS_MOST 20.0
+/* Upper bound of the slowness factor; a slower server counts as fuller. */
+#define SLOWNESS_MAX 20.0
 
 /*
- * A first event that takes this many times the fastest server's mean, and this
- * long at least, waits behind requests that nobody has told of. An item then
- * looks elsewhere.
+ * A first event that takes this many times the fastest server's mean, and at
+ * least this long, has waited behind requests that were not reported. Batch
+ * items then use other servers.
  */
 #define CROWDED_TIMES 3.0
-#define CROWDED_LEAST_MS 100.0
+#define CROWDED_MIN_MS 100.0
 
-/* So many VMs of other domains choose a server, where there are many. */
-#define ABROAD_VMS 2
+/* Number of VMs of other domains that may use a server, when there are many. */
+#define REMOTE_VMS 2
 
-/* With fewer VMs of other domains all may choose all: they hardly collide. */
-#define ABROAD_FREE_VMS 8
+/*
+ * With fewer VMs of other domains, each may use every server: collisions are
+ * rare.
+ */
+#define REMOTE_VMS_UNASSIGNED_MAX 8
 
-/* Of the own domain's servers a request looks at this many times its VM's
- * share, and at no fewer than these. */
-#define DRAWN_SHARES 2
-#define DRAWN_LEAST 3
+/*
+ * A request considers this many times its VM's share of the domain's servers,
+ * and at least this many of them.
+ */
+#define SAMPLE_SHARES 2
+#define SAMPLE_MIN 3
 
 static jj_slot_server_t *
-choose(jj_slots_t *, const jj_slots_wish_t *, jj_ms_t, double, bool *);
+choose_server(jj_slots_t *, const jj_slots_wish_t *, jj_ms_t, double, bool *);
 static bool is_full(const jj_slots_t *, const jj_slot_server_t *);
 static bool is_soon_enough(
     const jj_slot_server_t *, const jj_slots_wish_t *, double, double);
-static double mean_hold(const jj_slots_t *, const jj_name_t *, jj_ms_t);
-static double drawn_share(const jj_slots_t *, const jj_name_t *);
-static double draw_of(const jj_slots_t *, const jj_slot_server_t *);
-static bool is_offered(const jj_slots_t *, const jj_slot_server_t *);
-static bool has_offered(const jj_slots_t *, const jj_name_t *, jj_ms_t);
-static bool has_room(const jj_slots_t *, const jj_slot_server_t *);
+static double mean_service_time(const jj_slots_t *, const jj_name_t *, jj_ms_t);
+static double sample_share(const jj_slots_t *, const jj_name_t *);
+static double random_value(const jj_slots_t *, const jj_slot_server_t *);
+static bool is_assigned(const jj_slots_t *, const jj_slot_server_t *);
+static bool has_assigned(const jj_slots_t *, const jj_name_t *, jj_ms_t);
+static bool has_free_slot(const jj_slots_t *, const jj_slot_server_t *);
 static double cost_of(const jj_slots_t *, const jj_slot_server_t *, double);
 static double fastest(const jj_slots_t *, const jj_name_t *, jj_ms_t);
 static double slowness(const jj_slot_server_t *, double);
@@ -68,16 +78,16 @@
 
 jj_slot_server_t *
 jj_slots_choose_online(
-    jj_slots_t *slots, const jj_slots_wish_t *wish, jj_ms_t now, bool *full)
+    jj_slots_t *slots, const jj_slots_wish_t *criteria, jj_ms_t now, bool *full)
 {
 	jj_slot_server_t *best;
 
-	slots->turn++;
-	best =
-	    choose(slots, wish, now, drawn_share(slots, wish->service), full);
-	/* Those drawn were full or none: all are looked at. */
+	slots->sequence++;
+	best = choose_server(
+	    slots, criteria, now, sample_share(slots, criteria->service), full);
+	/* The sampled servers were full or none was up: consider all. */
 	if (best == NULL || jj_slot_server_taken(best) >= best->info.slots)
-		best = choose(slots, wish, now, 1, full);
+		best = choose_server(slots, criteria, now, 1, full);
 	return best;
 }
 
@@ -89,16 +99,17 @@
 	jj_slot_server_t *server;
 	double best_free = 0;
 	double best_ms = fastest(slots, service, now);
-	bool all = !has_offered(slots, service, now);
+	bool all = !has_assigned(slots, service, now);
 
 	TAILQ_FOREACH(server, &slots->servers, link)
 	{
 		double free_places;
 
 		if (!is_candidate(server, service, avoid, now) ||
-		    !(all || is_offered(slots, server)) ||
+		    !(all || is_assigned(slots, server)) ||
 		    server->open_connects > 1 ||
-		    now < server->crowded_until_ms || !has_room(slots, server))
+		    now < server->crowded_until_ms ||
+		    !has_free_slot(slots, server))
 			continue;
 		free_places =
 		    (double)(server->info.slots - jj_slot_server_taken(server));
@@ -122,7 +133,7 @@
 
 	if (usual == 0)
 		return JJ_MS_NEVER;
-	return (jj_ms_t)(limit > CROWDED_LEAST_MS ? limit : CROWDED_LEAST_MS);
+	return (jj_ms_t)(limit > CROWDED_MIN_MS ? limit : CROWDED_MIN_MS);
 }
 
 void
@@ -143,15 +154,16 @@
 }
 
 /**
- * The cheapest of the servers that are drawn, each with the probability
- * @p share; with 1 all of them, also those offered to others.
+ * The cheapest of the sampled servers, each of which is in the sample with
+ * probability @p share; with 1 of all servers, also those assigned to other
+ * VMs.
  */
 static jj_slot_server_t *
-choose(jj_slots_t *slots, const jj_slots_wish_t *wish, jj_ms_t now,
+choose_server(jj_slots_t *slots, const jj_slots_wish_t *criteria, jj_ms_t now,
     double share, bool *full)
 {
-	double best_ms = fastest(slots, wish->service, now);
-	double hold_ms = mean_hold(slots, wish->service, now);
+	double best_ms = fastest(slots, criteria->service, now);
+	double service_ms = mean_service_time(slots, criteria->service, now);
 	jj_slot_server_t *best = NULL;
 	jj_slot_server_t *server;
 	double best_cost = 0;
@@ -159,26 +171,30 @@
 	*full = false;
 	TAILQ_FOREACH(server, &slots->servers, link)
 	{
-		double draw = draw_of(slots, server);
+		double value = random_value(slots, server);
 		double cost;
 
-		if (!is_candidate(server, wish->service, NULL, now))
+		if (!is_candidate(server, criteria->service, NULL, now))
 			continue;
-		if (share < 1 && (draw >= share || !is_offered(slots, server)))
+		if (share < 1 &&
+		    (value >= share || !is_assigned(slots, server)))
 			continue;
 		if (is_full(slots, server) ||
-		    !is_soon_enough(server, wish, best_ms, hold_ms)) {
+		    !is_soon_enough(server, criteria, best_ms, service_ms)) {
 			*full = true;
 			continue;
 		}
 		cost = cost_of(slots, server, best_ms);
-		if (wish->avoid != NULL &&
-		    jj_name_equal(&server->info.id, wish->avoid))
+		if (criteria->avoid != NULL &&
+		    jj_name_equal(&server->info.id, criteria->avoid))
 			cost += COST_AVOIDED;
-		if (!is_offered(slots, server))
-			cost += COST_ABROAD;
-		/* Equal costs are spread, so that VMs differ in their choice. */
-		cost += draw * COST_SPREAD;
+		if (!is_assigned(slots, server))
+			cost += COST_REMOTE;
+		/*
+		 * Equal costs get a random difference, so that VMs choose
+		 * differently.
+		 */
+		cost += value * COST_SPREAD;
 		if (best != NULL && cost >= best_cost)
 			continue;
 		best = server;
@@ -197,36 +213,39 @@
 }
 
 /**
- * Guards against a queue in which all are late: a server serves in the order of
- * arrival, so when more is asked than there are places each request would wait
- * behind those that have waited too long already, and none would be in time.
- * Of the queue behind a full server a request holds so much time as its place
- * is held, shared by all places. Where a free place is too slow for anybody the
- * queue is not what makes requests late, and none is refused for it.
+ * Guards against a queue in which all requests are late: a server works in
+ * order of arrival, so with more requests than slots each would wait behind
+ * others that are late already, and none would be in time. Each request in the
+ * queue of a full server adds its service time divided by the number of slots.
+ * When even a free slot is too slow for the target, the queue is not the reason
+ * for a late answer, and no request is refused for it.
  */
 static bool
-is_soon_enough(const jj_slot_server_t *server, const jj_slots_wish_t *wish,
-    double best_ms, double hold_ms)
+is_soon_enough(const jj_slot_server_t *server, const jj_slots_wish_t *criteria,
+    double best_ms, double service_ms)
 {
 	uint32_t online = server->online + server->others_online;
-	double within = (double)wish->first_within_ms;
-	double hold = server->hold_ms > 0 ? server->hold_ms : hold_ms;
+	double within = (double)criteria->first_within_ms;
+	double own_service_ms =
+	    server->service_ms > 0 ? server->service_ms : service_ms;
 	double wait_ms;
 
-	if (online < server->info.slots || wish->first_within_ms == JJ_MS_NEVER)
+	if (online < server->info.slots ||
+	    criteria->first_within_ms == JJ_MS_NEVER)
 		return true;
-	if (wish->first_within_ms > 0 && best_ms >= within)
+	if (criteria->first_within_ms > 0 && best_ms >= within)
 		return true;
-	wait_ms = (online - server->info.slots + 1) * hold / server->info.slots;
+	wait_ms = (online - server->info.slots + 1) * own_service_ms /
+	    server->info.slots;
 	return best_ms + wait_ms <= within;
 }
 
-/** What part of the servers one request looks at. */
+/** Share of the servers that one request considers. */
 static double
-drawn_share(const jj_slots_t *slots, const jj_name_t *service)
+sample_share(const jj_slots_t *slots, const jj_name_t *service)
 {
 	const jj_slot_server_t *server;
-	double drawn = DRAWN_LEAST;
+	double sample = SAMPLE_MIN;
 	uint32_t count = 0;
 
 	TAILQ_FOREACH(server, &slots->servers, link)
@@ -234,53 +253,57 @@
 		count += server->local &&
 		    jj_name_equal(&server->info.service, service);
 	}
-	if (DRAWN_SHARES * (double)count / slots->near_vms > drawn)
-		drawn = DRAWN_SHARES * (double)count / slots->near_vms;
-	return count > 0 && drawn < count ? drawn / count : 1;
+	if (SAMPLE_SHARES * (double)count / slots->near_vms > sample)
+		sample = SAMPLE_SHARES * (double)count / slots->near_vms;
+	return count > 0 && sample < count ? sample / count : 1;
 }
 
-/** A number from 0 to 1 for a server, another one for each request. */
+/** A random number from 0 to 1, different for each server and request. */
 static double
-draw_of(const jj_slots_t *slots, const jj_slot_server_t *server)
+random_value(const jj_slots_t *slots, const jj_slot_server_t *server)
 {
-	uint64_t hash = jj_hash_bytes(&slots->turn, sizeof(slots->turn),
+	uint64_t hash = jj_hash_bytes(&slots->sequence, sizeof(slots->sequence),
 	    server->hash ^ slots->settings.seed);
 
 	return (double)(hash & 0xffff) / 0x10000;
 }
 
-/** False for a server of another domain that other VMs than this one use. */
+/** False for a server of another domain that is assigned to other VMs. */
 static bool
-is_offered(const jj_slots_t *slots, const jj_slot_server_t *server)
+is_assigned(const jj_slots_t *slots, const jj_slot_server_t *server)
 {
-	if (server->local || slots->far_vms < ABROAD_FREE_VMS)
+	if (server->local || slots->far_vms < REMOTE_VMS_UNASSIGNED_MAX)
 		return true;
 	return jj_rendezvous_weight(slots->settings.name.text, server->hash) %
 	    slots->far_vms <
-	    ABROAD_VMS;
+	    REMOTE_VMS;
 }
 
-/** Else items would wait for ever beside servers that are free. */
+/**
+ * When none is assigned to this VM, it uses all; otherwise batch items would
+ * wait for ever although servers are idle.
+ */
 static bool
-has_offered(const jj_slots_t *slots, const jj_name_t *service, jj_ms_t now)
+has_assigned(const jj_slots_t *slots, const jj_name_t *service, jj_ms_t now)
 {
 	const jj_slot_server_t *server;
 
 	TAILQ_FOREACH(server, &slots->servers, link)
 	{
 		if (is_candidate(server, service, NULL, now) &&
-		    is_offered(slots, server))
+		    is_assigned(slots, server))
 			return true;
 	}
 	return false;
 }
 
 /**
- * Batch leaves places free, of servers abroad one more: two there are as good
- * as one at home. A server of fewer places takes an item while it is empty.
+ * Batch leaves slots free, and one more at servers of other domains: two free
+ * slots there are worth one in this domain. A server with fewer slots than that
+ * takes an item while it is empty.
  */
 static bool
-has_room(const jj_slots_t *slots, const jj_slot_server_t *server)
+has_free_slot(const jj_slots_t *slots, const jj_slot_server_t *server)
 {
 	uint32_t needed = slots->settings.reserve + (server->local ? 1 : 2);
 
@@ -302,18 +325,18 @@
 	if (taken < limit)
 		cost = 0.1 * (double)taken / (double)limit;
 	else if (server->batch > 0)
-		cost = COST_CUT_OWN;
+		cost = COST_CANCEL_OWN;
 	else if (server->others_batch > 0)
-		cost = COST_CUT_OTHER;
+		cost = COST_CANCEL_OTHER;
 	else
 		cost = 1.0 + (double)(online - limit);
 	cost += COST_OPEN_CONNECT *
 	    (server->open_connects > 1 ? server->open_connects - 1 : 0);
 	cost += slowness(server, best_ms) - 1;
 	if (server->failures > 0)
-		cost += COST_DOUBTED;
+		cost += COST_FAILED;
 	if (!server->local)
-		cost += COST_ABROAD;
+		cost += COST_REMOTE;
 	return cost;
 }
 
@@ -335,9 +358,10 @@
 	return best;
 }
 
-/** How long a request holds its place at a service's servers; 0: unknown. */
+/** Mean service time over a service's servers; 0: unknown. */
 static double
-mean_hold(const jj_slots_t *slots, const jj_name_t *service, jj_ms_t now)
+mean_service_time(
+    const jj_slots_t *slots, const jj_name_t *service, jj_ms_t now)
 {
 	const jj_slot_server_t *server;
 	double sum = 0;
@@ -346,15 +370,17 @@
 	TAILQ_FOREACH(server, &slots->servers, link)
 	{
 		if (!is_candidate(server, service, NULL, now) ||
-		    server->hold_ms == 0)
+		    server->service_ms == 0)
 			continue;
-		sum += server->hold_ms;
+		sum += server->service_ms;
 		count++;
 	}
 	return count > 0 ? sum / count : 0;
 }
 
-/** How many times slower than the fastest; small differences are noise. */
+/**
+ * How many times slower than the fastest; up to a factor of two it is noise.
+ */
 static double
 slowness(const jj_slot_server_t *server, double best_ms)
 {
@@ -365,7 +391,7 @@
 	times = server->first_ms / best_ms / 2;
 	if (times < 1)
 		return 1;
-	return times < SLOWNESS_MOST ? times : SLOWNESS_MOST;
+	return times < SLOWNESS_MAX ? times : SLOWNESS_MAX;
 }
 
 static bool
--- a/src/core/slots_loads.c
+++ b/src/core/slots_loads.c
@@ -1,6 +1,6 @@
 /**
  * @file slots_loads.c
- * @brief What VMs tell each other of the places that they take.
+ * @brief Exchange of request counts between VMs.
  */
 #include "core/slots_state.h"
 
@@ -46,18 +46,18 @@
 
 	TAILQ_FOREACH(server, &slots->servers, link)
 	{
-		jj_slot_told_t *told = &server->told[scope];
+		jj_slot_reported_t *reported = &server->reported[scope];
 
 		if (count == most)
 			break;
-		if (server->online == told->online &&
-		    server->batch == told->batch)
+		if (server->online == reported->online &&
+		    server->batch == reported->batch)
 			continue;
 		loads[count++] = load_of(server);
-		told->online = server->online;
-		told->batch = server->batch;
-		/* What goes to all goes to those nearby as well. */
-		server->told[JJ_SLOTS_NEAR] = *told;
+		reported->online = server->online;
+		reported->batch = server->batch;
+		/* A report to all VMs includes those of this domain. */
+		server->reported[JJ_SLOTS_NEAR] = *reported;
 	}
 	return count;
 }
--- a/src/core/slots_state.h
+++ b/src/core/slots_state.h
@@ -1,6 +1,6 @@
 /**
  * @file slots_state.h
- * @brief What the parts of the slots share; private to them.
+ * @brief State shared by the slots sources; private to them.
  */
 #ifndef JJ_CORE_SLOTS_STATE_H
 #define JJ_CORE_SLOTS_STATE_H
@@ -11,14 +11,16 @@
 
 TAILQ_HEAD(jj_slot_list, jj_slot_server);
 
-/** The servers of all services, as one VM sees them. */
+/** The servers of all services, as this VM knows them. */
 struct jj_slots {
 	jj_slots_settings_t settings;
 	struct jj_slot_list servers;
-	GHashTable *by_hash; /**< the same, for loads of other VMs */
-	uint64_t turn; /**< spreads equal costs */
-	uint32_t near_vms; /**< that choose among the own domain's servers */
-	uint32_t far_vms; /**< of other domains */
+	GHashTable
+	    *by_hash; /**< index by hash, to look up loads of other VMs */
+	uint64_t
+	    sequence; /**< sequence number of the choice; varies equal costs */
+	uint32_t near_vms; /**< VMs that choose among this domain's servers */
+	uint32_t far_vms; /**< VMs of other domains */
 };
 
 #endif
--- a/src/core/struck.h
+++ b/src/core/struck.h
@@ -1,13 +1,13 @@
 /**
- * @file struck.h
- * @brief VMs that meet again tell each other which requests crash servers.
+ * @file crash_history.h
+ * @brief VMs exchange which requests crash servers when they connect again.
  *
- * A crash is told once, to the VMs that are live at that moment. One that was
- * down, cut off or frozen then would run the same request again and lose two
- * more servers to it. So whenever a VM becomes live to another, or is a new
- * process, each tells what it knows and asks for what the other knows: of the
- * two, one has confirmed the other's process last, and only from then on are
- * its messages heard.
+ * A crash is reported once, to the VMs that are live at that moment. A VM that
+ * was down, disconnected or stalled at that time would run the same request
+ * again and lose two more servers to it. So when a VM becomes live to another
+ * one, or is a new process, each sends the other what it knows and requests the
+ * other's list. The request is needed because one of the two confirms the
+ * other's process last, and only from then on accepts its messages.
  */
 #ifndef JJ_CORE_STRUCK_H
 #define JJ_CORE_STRUCK_H
@@ -15,13 +15,16 @@
 #include "core/member.h"
 #include "core/quarantine.h"
 
-/** Tells and asks the VMs that have arrived; call after each message. */
+/**
+ * Sends the list to the VMs that have become live and requests theirs; call it
+ * after each message.
+ */
 void jj_struck_greet(const jj_quarantine_t *quarantine, jj_member_t *member,
     jj_ms_t now, jj_actions_t *out);
 /**
- * Takes a message of kind JJ_MESSAGE_STRUCK and answers it when asked, also
- * when there is nothing to tell: the other may wait for it.
- * @return true when it said something that was not known here.
+ * Handles a message of kind JJ_MESSAGE_STRUCK and answers it when requested,
+ * also with an empty list: the other VM may wait for it.
+ * @return true when it contained a crash that was not known here.
  */
 bool jj_struck_take(jj_quarantine_t *quarantine, const jj_message_t *message,
     jj_ms_t now, jj_actions_t *out);
--- a/src/core/suspects.c
+++ b/src/core/suspects.c
@@ -1,6 +1,6 @@
 /**
  * @file suspects.c
- * @brief New requests that look like one that crashed a backend server.
+ * @brief Delays new requests whose fingerprint has been reported as crashing.
  */
 #include <stdlib.h>
 #include <sys/queue.h>
@@ -14,19 +14,19 @@
 } suspect_t;
 
 struct jj_suspects {
-	TAILQ_HEAD(, suspect) resting; /**< the first to begin first */
-	jj_ms_t rest_ms;
+	TAILQ_HEAD(, suspect) delayed; /**< in order of begin_ms */
+	jj_ms_t delay_ms;
 };
 
-static void take_off(jj_suspects_t *, suspect_t *);
+static void remove_suspect(jj_suspects_t *, suspect_t *);
 
 jj_suspects_t *
-jj_suspects_create(jj_ms_t rest_ms)
+jj_suspects_create(jj_ms_t delay_ms)
 {
 	jj_suspects_t *suspects = jj_alloc(sizeof(*suspects));
 
-	TAILQ_INIT(&suspects->resting);
-	suspects->rest_ms = rest_ms;
+	TAILQ_INIT(&suspects->delayed);
+	suspects->delay_ms = delay_ms;
 	return suspects;
 }
 
@@ -35,8 +35,8 @@
 {
 	if (suspects == NULL)
 		return;
-	while (!TAILQ_EMPTY(&suspects->resting))
-		take_off(suspects, TAILQ_FIRST(&suspects->resting));
+	while (!TAILQ_EMPTY(&suspects->delayed))
+		remove_suspect(suspects, TAILQ_FIRST(&suspects->delayed));
 	free(suspects);
 }
 
@@ -47,8 +47,8 @@
 	suspect_t *suspect = jj_alloc(sizeof(*suspect));
 
 	suspect->request = *request;
-	suspect->begin_ms = now + suspects->rest_ms;
-	TAILQ_INSERT_TAIL(&suspects->resting, suspect, link);
+	suspect->begin_ms = now + suspects->delay_ms;
+	TAILQ_INSERT_TAIL(&suspects->delayed, suspect, link);
 }
 
 bool
@@ -56,10 +56,10 @@
 {
 	suspect_t *suspect;
 
-	TAILQ_FOREACH(suspect, &suspects->resting, link)
+	TAILQ_FOREACH(suspect, &suspects->delayed, link)
 	{
 		if (suspect->request.request == request) {
-			take_off(suspects, suspect);
+			remove_suspect(suspects, suspect);
 			return true;
 		}
 	}
@@ -72,24 +72,24 @@
 {
 	suspect_t *suspect;
 
-	while ((suspect = TAILQ_FIRST(&suspects->resting)) != NULL &&
+	while ((suspect = TAILQ_FIRST(&suspects->delayed)) != NULL &&
 	    suspect->begin_ms <= now) {
 		jj_dispatch_begin(dispatch, &suspect->request, now, out);
-		take_off(suspects, suspect);
+		remove_suspect(suspects, suspect);
 	}
 }
 
 jj_ms_t
 jj_suspects_next(const jj_suspects_t *suspects)
 {
-	const suspect_t *suspect = TAILQ_FIRST(&suspects->resting);
+	const suspect_t *suspect = TAILQ_FIRST(&suspects->delayed);
 
 	return suspect != NULL ? suspect->begin_ms : JJ_MS_NEVER;
 }
 
 static void
-take_off(jj_suspects_t *suspects, suspect_t *suspect)
+remove_suspect(jj_suspects_t *suspects, suspect_t *suspect)
 {
-	TAILQ_REMOVE(&suspects->resting, suspect, link);
+	TAILQ_REMOVE(&suspects->delayed, suspect, link);
 	free(suspect);
 }
--- a/src/core/watch.c
+++ b/src/core/watch.c
@@ -1,6 +1,6 @@
 /**
  * @file watch.c
- * @brief One watch on a prefix of the platform's objects.
+ * @brief Watches the platform's objects under one prefix.
  */
 #include <stdio.h>
 #include <string.h>
@@ -21,10 +21,10 @@
 		return;
 	watch->active = active;
 	/*
-	 * A VM that takes the duty over has not seen what came before: it
-	 * starts from a fresh position, which counts as lost events.
+	 * A VM that takes over the watch has missed the events before: it
+	 * starts from a new revision, which counts as lost events.
 	 */
-	watch->positioned = false;
+	watch->has_revision = false;
 	watch->next_ms = now;
 }
 
@@ -37,13 +37,13 @@
 		return;
 	watch->polling = true;
 	watch->next_ms = now + watch->settings.spacing_ms;
-	if (watch->positioned) {
+	if (watch->has_revision) {
 		call = jj_actions_add_platform(out, watch->settings.owner,
 		    JJ_PLATFORM_WATCH, watch->settings.token);
 		call->version = watch->since;
 		call->wait_ms = watch->settings.wait_ms;
 	} else {
-		/* A list of one key tells the revision to watch from. */
+		/* A list of one key returns the revision to watch from. */
 		call = jj_actions_add_platform(out, watch->settings.owner,
 		    JJ_PLATFORM_LIST, watch->settings.token);
 		call->limit = 1;
@@ -66,7 +66,7 @@
 {
 	watch->polling = false;
 	if (result->outcome == JJ_PLATFORM_GAP) {
-		watch->positioned = false;
+		watch->has_revision = false;
 		return JJ_WATCH_NOTHING;
 	}
 	if (result->outcome != JJ_PLATFORM_OK) {
@@ -75,7 +75,7 @@
 	}
 	watch->since = result->version;
 	if (result->op == JJ_PLATFORM_LIST) {
-		watch->positioned = true;
+		watch->has_revision = true;
 		return JJ_WATCH_LOST;
 	}
 	return result->item_count > 0 ? JJ_WATCH_EVENTS : JJ_WATCH_NOTHING;
--- a/src/core/window.c
+++ b/src/core/window.c
@@ -1,6 +1,6 @@
 /**
  * @file window.c
- * @brief A ring of buckets; old ones are emptied when time moves on.
+ * @brief A ring of buckets; expired buckets are cleared as time advances.
  */
 #include <string.h>
 
--- a/src/core/window.h
+++ b/src/core/window.h
@@ -18,11 +18,11 @@
 	uint32_t sum;
 } jj_window_t;
 
-/** Empties the window and sets its length, a multiple of its buckets. */
+/** Clears the window and sets its length, a multiple of its buckets. */
 void jj_window_reset(jj_window_t *window, jj_ms_t length_ms);
 /** Counts events at @p now. */
 void jj_window_add(jj_window_t *window, uint32_t count, jj_ms_t now);
-/** How many events the window holds at @p now. */
+/** Number of events in the window at @p now. */
 uint32_t jj_window_count(jj_window_t *window, jj_ms_t now);
 /** Length of the window, milliseconds. */
 jj_ms_t jj_window_length(const jj_window_t *window);
--- a/src/core/withheld.c
+++ b/src/core/withheld.c
@@ -1,6 +1,6 @@
 /**
- * @file withheld.c
- * @brief Batch requests that wait until a server of their service has room.
+ * @file batch_backlog.c
+ * @brief Batch requests that wait until a server of their service has capacity.
  */
 #include <stdlib.h>
 #include <sys/queue.h>
@@ -8,8 +8,9 @@
 #include "core/withheld.h"
 
 /**
- * A VM that just started takes itself for the steward of all servers; items
- * that came by then must not wait for ever for servers of another steward.
+ * A VM that has just started considers itself the steward of all servers. Items
+ * that it accepted then must not wait for ever for servers of another steward:
+ * without a share for this time they are refused.
  */
 #define NO_SHARE_MS 500
 
@@ -25,9 +26,8 @@
 	uint32_t count;
 };
 
-static void
-give_back(jj_withheld_t *, waiter_t *, jj_give_up_t, jj_actions_t *);
-static void take_off(jj_withheld_t *, waiter_t *);
+static void refuse(jj_withheld_t *, waiter_t *, jj_give_up_t, jj_actions_t *);
+static void remove_waiter(jj_withheld_t *, waiter_t *);
 
 jj_withheld_t *
 jj_withheld_create(void)
@@ -44,7 +44,7 @@
 	if (withheld == NULL)
 		return;
 	while (!TAILQ_EMPTY(&withheld->waiters))
-		take_off(withheld, TAILQ_FIRST(&withheld->waiters));
+		remove_waiter(withheld, TAILQ_FIRST(&withheld->waiters));
 	free(withheld);
 }
 
@@ -68,7 +68,7 @@
 	TAILQ_FOREACH(waiter, &withheld->waiters, link)
 	{
 		if (waiter->request.request == request) {
-			take_off(withheld, waiter);
+			remove_waiter(withheld, waiter);
 			return true;
 		}
 	}
@@ -89,18 +89,18 @@
 		if (now - waiter->since_ms >= NO_SHARE_MS &&
 		    !jj_dispatch_has_share(
 			dispatch, &waiter->request.service, now)) {
-			give_back(withheld, waiter, JJ_GIVE_UP_OVERLOADED, out);
+			refuse(withheld, waiter, JJ_GIVE_UP_OVERLOADED, out);
 			continue;
 		}
 		if (jj_name_equal(&waiter->request.service, &full))
 			continue;
-		if (jj_dispatch_service_room(
+		if (jj_dispatch_service_capacity(
 			dispatch, &waiter->request.service, now) == 0) {
 			full = waiter->request.service;
 			continue;
 		}
 		jj_dispatch_begin(dispatch, &waiter->request, now, out);
-		take_off(withheld, waiter);
+		remove_waiter(withheld, waiter);
 	}
 }
 
@@ -108,7 +108,7 @@
 jj_withheld_leave(jj_withheld_t *withheld, jj_actions_t *out)
 {
 	while (!TAILQ_EMPTY(&withheld->waiters))
-		give_back(withheld, TAILQ_FIRST(&withheld->waiters),
+		refuse(withheld, TAILQ_FIRST(&withheld->waiters),
 		    JJ_GIVE_UP_STOPPING, out);
 }
 
@@ -118,9 +118,9 @@
 	return withheld->count;
 }
 
-/** Nothing of it was sent. */
+/** Refuses a request, as not run. */
 static void
-give_back(jj_withheld_t *withheld, waiter_t *waiter, jj_give_up_t reason,
+refuse(jj_withheld_t *withheld, waiter_t *waiter, jj_give_up_t reason,
     jj_actions_t *out)
 {
 	jj_action_t *action = jj_actions_add(out, JJ_ACTION_ANSWER);
@@ -128,11 +128,11 @@
 	action->body.answer.request = waiter->request.request;
 	action->body.answer.reason = reason;
 	action->body.answer.run = JJ_RUN_NOT_RUN;
-	take_off(withheld, waiter);
+	remove_waiter(withheld, waiter);
 }
 
 static void
-take_off(jj_withheld_t *withheld, waiter_t *waiter)
+remove_waiter(jj_withheld_t *withheld, waiter_t *waiter)
 {
 	TAILQ_REMOVE(&withheld->waiters, waiter, link);
 	withheld->count--;
--- a/tests/core/dispatch_test.cc
+++ b/tests/core/dispatch_test.cc
@@ -1,4 +1,5 @@
-// Dispatch: routing, fairness, retries, deadlines, batch beside online.
+// Tests of dispatch: routing, fairness, retries, deadlines, batch beside
+// online.
 
 #include <gtest/gtest.h>
 
@@ -32,11 +33,11 @@
 	uint32_t resume_from;
 };
 
-// The word of a death is with all VMs after so long, ms.
-const jj_ms_t SPREAD_MS = 30;
+// Time in which a crash report reaches all VMs, ms.
+const jj_ms_t CRASH_PROPAGATION_MS = 30;
 
 // A load message that was sent.
-struct Told {
+struct SentLoads {
 	std::string to;
 	std::vector<jj_load_t> loads;
 };
@@ -50,7 +51,7 @@
 	return name;
 }
 
-// One VM, "vm-a", with a live neighbour "vm-b" when asked for.
+// One VM, "vm-a", and on request a live neighbour, "vm-b".
 class DispatchTest : public ::testing::Test
 {
       protected:
@@ -142,7 +143,7 @@
 		others.clear();
 	}
 
-	// Sorts what dispatch asked for into the lists below.
+	// Moves the actions of dispatch into the lists below.
 	void
 	Drain()
 	{
@@ -176,18 +177,18 @@
 
 		sent.push_back(message.kind);
 		if (message.kind == JJ_MESSAGE_LOAD)
-			told.push_back({to.text,
+			sent_loads.push_back({to.text,
 			    {loads, loads + message.body.load.count}});
 	}
 
-	// The newest of what a VM was told of a server; -1: nothing.
+	// Online count last reported to a VM for a server; -1: none.
 	int
-	ToldOnline(const std::string &vm, const std::string &server) const
+	ReportedOnline(const std::string &vm, const std::string &server) const
 	{
 		jj_name_t name = Name(server);
 		int online = -1;
 
-		for (const Told &one : told)
+		for (const SentLoads &one : sent_loads)
 			for (const jj_load_t &load : one.loads)
 				if (one.to == vm &&
 				    load.server ==
@@ -196,7 +197,7 @@
 		return online;
 	}
 
-	// The VM that decides on batch at a server.
+	// The steward of a server.
 	std::string
 	StewardOf(const std::string &server) const
 	{
@@ -209,9 +210,9 @@
 		return steward.text;
 	}
 
-	// Heartbeats and probes until both VMs know each other.
+	// Exchanges heartbeats and probes until both VMs know each other.
 	void
-	MeetNeighbour()
+	ConnectNeighbour()
 	{
 		jj_name_t a = Name("vm-a");
 		jj_name_t b = Name("vm-b");
@@ -230,9 +231,9 @@
 		Drain();
 	}
 
-	// Neighbours "vm-c0" and on, in this domain.
+	// Adds neighbours "vm-c0", "vm-c1", ... in this domain.
 	void
-	MeetMany(int count)
+	ConnectNeighbours(int count)
 	{
 		jj_name_t a = Name("vm-a");
 		jj_name_t domain = Name("sala-a");
@@ -267,7 +268,7 @@
 		Drain();
 	}
 
-	// Delivers what one member sent, and what that brings about.
+	// Delivers the messages of one member and the replies that they cause.
 	void
 	Exchange(jj_member_t *from, int depth)
 	{
@@ -373,17 +374,17 @@
 		Drain();
 	}
 
-	// The connection broke, and so did that of the look at its server.
+	// The connection broke, and so did that of the probe of its server.
 	void
-	BreakWithItsLook(uint64_t request, uint32_t attempt)
+	BreakWithProbe(uint64_t request, uint32_t attempt)
 	{
 		Event(
 		    request, attempt, JJ_BACKEND_BROKEN, false, 1, false, true);
 	}
 
-	// A neighbour's report of a death that this request may have caused.
+	// A neighbour's report of a crash with this request in flight.
 	void
-	Strike(uint64_t fingerprint, const std::string &server)
+	ReportCrash(uint64_t fingerprint, const std::string &server)
 	{
 		jj_crash_t crash = {};
 
@@ -469,13 +470,14 @@
 	std::vector<Answer> answers;
 	std::vector<uint64_t> cancels;
 	std::vector<jj_message_kind_t> sent;
-	std::vector<Told> told;
+	std::vector<SentLoads> sent_loads;
 	std::map<std::string, jj_member_t *> others;
 };
 
 // Stories 10, 12, 13: a caller books pallets; the connection breaks after the
-// request was sent, or the server answers 503 when it may have begun. Sent
-// again, the pallets are booked twice; told "not run", the shop books again.
+// request was sent, or the server answers 503 when it may have started. If it
+// is sent again, the pallets are booked twice; if the answer says "not run",
+// the shop books again.
 TEST_F(DispatchTest, RetriesOnlyWhatCannotRunTwice)
 {
 	struct Case {
@@ -528,8 +530,8 @@
 	Build(1, 8);
 }
 
-// Story 12: the first attempt may have run, the second was surely not sent.
-// An answer about the request speaks for both: "not run" would be a lie.
+// Story 12: the first attempt may have run, the second was not sent. The answer
+// covers both attempts: "not run" would be wrong.
 TEST_F(DispatchTest, RunOfEarlierAttemptIsNotForgotten)
 {
 	Build(1, 8);
@@ -541,9 +543,9 @@
 	EXPECT_EQ(JJ_RUN_UNKNOWN, AnswerOf(1)->run);
 }
 
-// Story 18: a server's late answer for an attempt given up on arrives when
-// the retry runs elsewhere. The caller would get the end of a stream that is
-// not its own, and the retry's place would be freed twice.
+// Story 18: a late answer for an abandoned attempt arrives while the retry runs
+// at another server. The caller would get the end of another stream, and the
+// retry's request slot would be released twice.
 TEST_F(DispatchTest, LateEventOfOldAttemptIsIgnored)
 {
 	Build(2, 8);
@@ -556,9 +558,9 @@
 	EXPECT_EQ(0u, jj_dispatch_in_flight(dispatch, JJ_CLASS_ONLINE));
 }
 
-// Story 16: a back end fails all its calls. Callers see errors either way;
-// with unbounded retries the back end gets three times the load and never
-// recovers. Floor 2 and a tenth of 40 first attempts: 6 retries.
+// Story 16: a server fails all requests. Callers see errors either way, but
+// unlimited retries would triple the load, and the server would never recover.
+// With a floor of 2 and a tenth of 40 first attempts, 6 retries are allowed.
 TEST_F(DispatchTest, RetriesStayWithinBudget)
 {
 	Build(4, 32);
@@ -603,9 +605,9 @@
 	}
 }
 
-// Story 16: a request that cannot be answered in time is answered now, with
-// a time to come back; held until its deadline the caller could do nothing
-// else meanwhile, and sent late it wastes a place.
+// Story 16: a request that cannot be answered in time is answered at once, with
+// a Retry-After. Kept until its deadline, it would only block the caller; sent
+// late, it would waste a request slot.
 TEST_F(DispatchTest, HopelessRequestsAreAnsweredAtOnce)
 {
 	Build(1, 1);
@@ -625,8 +627,8 @@
 	EXPECT_GE(AnswerOf(7)->retry_after_ms, 4000);
 }
 
-// Story 16: a request arrives when its deadline has passed already, and a
-// server has a place. Sent on, it would run for a caller who has gone.
+// Story 16: a request arrives after its deadline while a server has a free
+// slot. It must not run, as its caller has gone.
 TEST_F(DispatchTest, RequestPastItsDeadlineIsNotSent)
 {
 	Build(1, 8);
@@ -639,8 +641,8 @@
 	EXPECT_EQ(0, StartsOf(1));
 }
 
-// Story 16: a queued request's time runs out while others are served. It is
-// answered as soon as even a quick answer would be late, not when it is late.
+// Story 16: a queued request's deadline comes closer while others run. It is
+// answered as soon as even a fast answer would be late, not at the deadline.
 TEST_F(DispatchTest, QueuedRequestIsGivenUpBeforeItsDeadline)
 {
 	Build(1, 1);
@@ -660,8 +662,8 @@
 	EXPECT_EQ(0, StartsOf(3));
 }
 
-// Story 17: one team sends fifty requests at once, then a shop sends one. In
-// order of arrival the shop waits for all fifty.
+// Story 17: one team sends fifty requests at once, then another team sends one.
+// In order of arrival that one would wait for all fifty.
 TEST_F(DispatchTest, FloodingTeamDoesNotHoldUpOthers)
 {
 	Build(1, 2);
@@ -673,8 +675,9 @@
 	EXPECT_EQ(1, StartsOf(100));
 }
 
-// Story 17: the queue is full of one team's requests. Refusing whoever comes
-// next would refuse the shops; the flood's newest request goes instead.
+// Story 17: the queue is full of one team's requests. Refusing the next arrival
+// would refuse other teams; the newest request of the flooding team is refused
+// instead.
 TEST_F(DispatchTest, FullQueueRefusesTheFloodingTeam)
 {
 	Build(1, 1, 10);
@@ -688,12 +691,13 @@
 	EXPECT_GT(AnswerOf(11)->retry_after_ms, 0);
 }
 
-// Story 23: a server refuses as it leaves; the platform's list still has it.
-// Each request would find out anew, and so would each other VM.
+// Story 23: a server that is leaving refuses a request while the platform's
+// list still has it. Without a notification each further request, and each
+// other VM, would have to find that out again.
 TEST_F(DispatchTest, LeavingServerGetsNoNewWork)
 {
 	Build(2, 64);
-	MeetNeighbour();
+	ConnectNeighbour();
 	BeginOnline(1);
 	std::string left = starts[0].server;
 	Event(1, 1, JJ_BACKEND_LEAVING);
@@ -705,15 +709,16 @@
 	    std::find(sent.begin(), sent.end(), JJ_MESSAGE_SERVER_STATE));
 }
 
-// Story 27: a request kills the server it runs on, is retried, and kills the
-// next. Others that were in flight with it must not be blamed for good.
+// Story 27: a request crashes the server it runs on, is retried, and crashes
+// the next one. Other requests that were in flight with it must not stay
+// suspects.
 TEST_F(DispatchTest, CrashingRequestIsRefusedAfterItsSecondServer)
 {
 	Build(3, 1);
 	BeginOnline(1);
 	BeginOnline(2);
 	std::string first = starts[0].server;
-	// The connection breaks before anybody knows that the server died.
+	// The connection breaks before the crash is detected.
 	Event(1, 1, JJ_BACKEND_BROKEN);
 	ASSERT_EQ(2, StartsOf(1));
 	Crash(first.back() - '0', 7);
@@ -730,9 +735,9 @@
 	EXPECT_EQ(JJ_GIVE_UP_QUARANTINED, AnswerOf(3)->reason);
 }
 
-// Story 27: the connections break at once, the probes see the deaths later.
-// A request that is sent on meanwhile has killed its third server before the
-// first death is known; refused after its second it has not.
+// Story 27: connections break at once, but probes detect the crashes later. A
+// request that is retried in the meantime would crash a third server before the
+// first crash is known.
 TEST_F(DispatchTest, RequestThatBrokeTwiceWaitsForTheProbes)
 {
 	retry_floor = 20;
@@ -747,7 +752,8 @@
 	ASSERT_NE(nullptr, AnswerOf(1));
 	EXPECT_EQ(JJ_GIVE_UP_QUARANTINED, AnswerOf(1)->reason);
 	EXPECT_EQ(2, StartsOf(1));
-	// Without a death it was the network: on it goes.
+	// Without a crash report the network was the cause: the request is
+	// retried.
 	BeginOnline(2);
 	Event(2, 1, JJ_BACKEND_BROKEN);
 	Event(2, 2, JJ_BACKEND_BROKEN);
@@ -755,12 +761,12 @@
 	EXPECT_EQ(3, StartsOf(2));
 }
 
-/* Guards against a second attempt before the first server's death is known. */
+/* Guards against a second attempt before the first server's crash is known. */
 TEST_F(DispatchTest, ABreakAtADyingServerWaitsForItsDeath)
 {
 	Build(3, 8);
 	BeginOnline(1);
-	BreakWithItsLook(1, 1);
+	BreakWithProbe(1, 1);
 	Tick(100);
 	ASSERT_EQ(1, StartsOf(1));
 	Crash(starts[0].server.back() - '0', 7);
@@ -770,12 +776,12 @@
 	EXPECT_EQ(2, StartsOf(1));
 }
 
-/* Guards against a wait for the death of a server that lives. */
+/* Guards against waiting for the crash of a server that is alive. */
 TEST_F(DispatchTest, ABreakAtALivingServerIsSentOnAtOnce)
 {
 	Build(3, 8);
 	BeginOnline(1);
-	BreakWithItsLook(1, 1);
+	BreakWithProbe(1, 1);
 	ASSERT_EQ(1, StartsOf(1));
 	jj_name_t other = Name("server-other");
 	jj_dispatch_note_alive(dispatch, &other, now, &out);
@@ -787,28 +793,28 @@
 	EXPECT_EQ(2, StartsOf(1));
 }
 
-/* Guards against a wait without an end for a look that shows nothing. */
+/* Guards against waiting for ever for a probe without a result. */
 TEST_F(DispatchTest, ABreakAtAnUnknownServerIsSentOnAfterAWhile)
 {
 	Build(3, 8);
 	BeginOnline(1);
-	BreakWithItsLook(1, 1);
+	BreakWithProbe(1, 1);
 	Tick(400);
 	EXPECT_EQ(1, StartsOf(1));
 	Tick(100);
 	EXPECT_EQ(2, StartsOf(1));
 }
 
-/* Guards against a resend that is ahead of the news of the second death. */
+/* Guards against a retry that is faster than the report of the second crash. */
 TEST_F(DispatchTest, ASuspectWaitsForNewsOfAnotherDeath)
 {
 	Build(3, 8);
-	Strike(1001, "server-8");
-	Strike(1002, "server-8");
+	ReportCrash(1001, "server-8");
+	ReportCrash(1002, "server-8");
 	BeginOnline(1);
 	BeginOnline(2);
 	EXPECT_EQ(0u, starts.size());
-	Strike(1001, "server-9");
+	ReportCrash(1001, "server-9");
 	Tick(30);
 	ASSERT_NE(nullptr, AnswerOf(1));
 	EXPECT_EQ(JJ_GIVE_UP_QUARANTINED, AnswerOf(1)->reason);
@@ -816,13 +822,14 @@
 	EXPECT_EQ(1, StartsOf(2));
 }
 
-// Story 27: two VMs each run one suspect on the same server. It dies, and
-// the innocent one has its second strike: refused for an hour.
+// Story 27: two VMs each run one suspect on the same server. It crashes, and
+// the crash is the second one counted against the innocent request, which is
+// then refused for an hour.
 TEST_F(DispatchTest, SuspectsKeepToServersOfTheirSteward)
 {
 	retry_floor = 20;
 	Build(8, 8);
-	MeetNeighbour();
+	ConnectNeighbour();
 	for (uint64_t i = 1; i <= 8; i++) {
 		BeginOnline(i);
 		Event(i, 1, JJ_BACKEND_BROKEN);
@@ -840,22 +847,23 @@
 		    jj_hash_bytes(start.server.data(), start.server.size(), 0),
 		    &steward));
 		EXPECT_STREQ("vm-a", steward.text);
-		// Where it broke is probably dead.
+		// The server where it broke has probably crashed.
 		EXPECT_NE(first[start.request], start.server);
 		stewarded++;
 	}
 	EXPECT_GT(stewarded, 0u);
 	ASSERT_LT(stewarded, 8u);
-	// The rest are not kept for ever: theirs are the others in the next turn.
+	// The remaining ones get other servers in the next round.
 	for (int i = 0; i < 11; i++)
 		Tick(100);
 	EXPECT_EQ(16u, starts.size());
 }
 
-// Story 27: each VM has suspects of the same death and servers that it is not
-// steward of. Sent anywhere after a second, two VMs' suspects meet on one
-// server; it dies, and the innocent one is refused for an hour.
-TEST_F(DispatchTest, NoServerIsOpenToTwoVmsInOneTurn)
+// Story 27: each VM has suspects of the same crash, and servers of which it is
+// not steward. If suspects could use any server after a second, those of two
+// VMs would meet on one server; it crashes, and the innocent one is refused for
+// an hour.
+TEST_F(DispatchTest, NoServerIsOpenToTwoVmsInOneRound)
 {
 	jj_member_info_t vms[3] = {};
 	jj_request_t request = Request(1);
@@ -875,16 +883,16 @@
 		TAILQ_INSERT_TAIL(&views, view, link);
 		all.push_back(view);
 	}
-	std::map<std::pair<int, jj_server_view_t *>, int> turns;
-	for (uint32_t turn = 0; turn < 3; turn++) {
+	std::map<std::pair<int, jj_server_view_t *>, int> rounds;
+	for (uint32_t round = 0; round < 3; round++) {
 		std::map<jj_server_view_t *, int> open;
 		for (int vm = 0; vm < 3; vm++) {
 			jj_server_need_t need = {};
 			need.request = &request;
 			need.suspect = true;
-			need.online_most = 8;
+			need.online_max = 8;
 			need.online_share = 8;
-			need.turn = turn;
+			need.round = round;
 			need.self = &vms[vm].name;
 			need.vms = vms;
 			need.vm_count = 3;
@@ -895,7 +903,7 @@
 				view->suspects = 1;
 				mine.push_back(view);
 				open[view]++;
-				turns[{vm, view}]++;
+				rounds[{vm, view}]++;
 			}
 			for (jj_server_view_t *one : mine)
 				one->suspects = 0;
@@ -904,13 +912,14 @@
 		for (const auto &one : open)
 			EXPECT_EQ(1, one.second);
 	}
-	// Each VM has had its turn at each server.
-	EXPECT_EQ(36u, turns.size());
-	// One that runs there still since an earlier turn holds it.
+	// Over all rounds each VM may use each server once.
+	EXPECT_EQ(36u, rounds.size());
+	// A suspect that still runs there from an earlier round blocks the
+	// server.
 	jj_server_need_t need = {};
 	need.request = &request;
 	need.suspect = true;
-	need.online_most = 8;
+	need.online_max = 8;
 	need.self = &vms[0].name;
 	jj_load_t load = {all[0]->hash, 1, 0, 1};
 	jj_server_view_take_load(all[0], &vms[1].name, &load);
@@ -926,10 +935,10 @@
 		jj_server_view_destroy(view);
 }
 
-// Story 27: a request that had killed a server was sent on to another domain,
-// whose VMs did not know that a suspect came. It met an innocent one there;
-// the server died, and the innocent one was refused for an hour. Loads are
-// told within a domain, so a suspect leaves it only when no server there is up.
+// Story 27: a suspect was sent to another domain, whose VMs did not know of it.
+// It shared a server with an innocent suspect there; the server crashed, and
+// the innocent one was refused for an hour. As loads are reported within a
+// domain only, a suspect leaves its domain only when no server there is up.
 TEST_F(DispatchTest, SuspectsStayInTheirDomainWhileAServerIsUp)
 {
 	jj_member_info_t self = {};
@@ -949,22 +958,22 @@
 		TAILQ_INSERT_TAIL(&views, local[i], link);
 	}
 	server.name = Name("abroad");
-	jj_server_view_t *abroad = jj_server_view_create(&server);
-	abroad->up = true;
-	TAILQ_INSERT_TAIL(&views, abroad, link);
+	jj_server_view_t *remote = jj_server_view_create(&server);
+	remote->up = true;
+	TAILQ_INSERT_TAIL(&views, remote, link);
 	jj_server_need_t need = {};
 	need.request = &request;
-	need.online_most = 8;
+	need.online_max = 8;
 	need.self = &self.name;
 	need.vms = &self;
 	need.vm_count = 1;
 	struct {
 		const char *name;
 		bool suspect;
-		uint32_t suspects; /**< that run on each server at home */
-		uint32_t online; /**< requests likewise */
+		uint32_t suspects; /**< suspects on each local server */
+		uint32_t online; /**< online requests on each local server */
 		bool up;
-		bool goes_abroad;
+		bool leaves_domain;
 	} cases[] = {
 	    {"free", true, 0, 0, true, false},
 	    {"each runs a suspect", true, 1, 1, true, false},
@@ -979,37 +988,37 @@
 			view->up = one.up;
 		}
 		need.suspect = one.suspect;
-		EXPECT_EQ(one.goes_abroad,
-		    jj_server_choose_online(&views, &need, now) == abroad)
+		EXPECT_EQ(one.leaves_domain,
+		    jj_server_choose_online(&views, &need, now) == remote)
 		    << one.name;
 	}
-	for (jj_server_view_t *view : {local[0], local[1], abroad})
+	for (jj_server_view_t *view : {local[0], local[1], remote})
 		jj_server_view_destroy(view);
 }
 
-// Story 27: a VM's suspect runs for seconds. Its neighbours have to know at
-// once that the server is taken, however far from full it is.
-TEST_F(DispatchTest, AllHearWhereASuspectRuns)
+// Story 27: a VM's suspect runs for seconds. Its neighbours must learn at once
+// that the server is in use for a suspect, however low its load is.
+TEST_F(DispatchTest, NeighboursAreNotifiedWhereASuspectRuns)
 {
 	retry_floor = 20;
 	Build(3, 32);
-	MeetMany(9);
+	ConnectNeighbours(9);
 	Tick(1000);
 	BeginOnline(1);
 	Event(1, 1, JJ_BACKEND_BROKEN);
-	told.clear();
+	sent_loads.clear();
 	for (int i = 0; i < 600 && starts.size() < 2; i++)
 		Tick(20);
 	ASSERT_EQ(2u, starts.size());
 	for (int i = 0; i < 25; i++)
 		Tick(20);
 	for (const auto &one : others)
-		EXPECT_EQ(1, ToldOnline(one.first, starts[1].server));
+		EXPECT_EQ(1, ReportedOnline(one.first, starts[1].server));
 }
 
-// Story 27: two servers die together. A request of the second meets the first
-// on its way: found dead twice, it would have used up its attempts without
-// having run anywhere since.
+// Story 27: two servers crash together. The retry of a request from the second
+// one meets the first one, which refuses the connection. If that counted, the
+// request would use up its attempts without having run again.
 TEST_F(DispatchTest, ServersFoundDeadUseUpNoAttempts)
 {
 	retry_floor = 20;
@@ -1020,15 +1029,17 @@
 	Event(1, 3, JJ_BACKEND_NOT_SENT);
 	EXPECT_EQ(4, StartsOf(1));
 	EXPECT_EQ(nullptr, AnswerOf(1));
-	// None is left: that is said at once, and that it was not run.
+	// No server is left: the answer comes at once and says that it was not
+	// run.
 	Event(1, 4, JJ_BACKEND_NOT_SENT);
 	ASSERT_NE(nullptr, AnswerOf(1));
 	EXPECT_EQ(JJ_RUN_NOT_RUN, AnswerOf(1)->run);
 	EXPECT_EQ(JJ_GIVE_UP_NO_SERVER, AnswerOf(1)->reason);
 }
 
-// Story 27: this VM's only server broke the connection because it died. Sent
-// back there, the request uses up an attempt on a server known to be doubtful.
+// Story 27: this VM's only server broke the connection because it crashed. A
+// retry sent back at once would waste an attempt on a server that is suspected
+// to be down.
 TEST_F(DispatchTest, SuspectDoesNotGoBackAtOnce)
 {
 	Build(1, 8);
@@ -1036,13 +1047,13 @@
 	Event(1, 1, JJ_BACKEND_BROKEN);
 	Tick(100);
 	EXPECT_EQ(1, StartsOf(1));
-	// The server was well after all.
+	// The server turned out to be healthy.
 	Tick(1000);
 	EXPECT_EQ(2, StartsOf(1));
 }
 
-// Story 27: eight requests were on the server that died. Run together again
-// on one server, the next death would give all eight their second strike.
+// Story 27: eight requests were in flight on the server that crashed. Sent to
+// one server together, all eight would be blamed for the next crash.
 TEST_F(DispatchTest, SuspectsRunOnePerServer)
 {
 	Build(1, 16);
@@ -1052,7 +1063,8 @@
 	LearnServer(2);
 	Tick(200);
 	Crash(0, 7);
-	// The word of the death goes first, so that resends elsewhere rest.
+	// The crash report is sent first, so that copies at other VMs are
+	// delayed.
 	EXPECT_EQ(4u, starts.size());
 	Tick(30);
 	EXPECT_EQ(6u, starts.size());
@@ -1064,12 +1076,13 @@
 	EXPECT_EQ(8u, starts.size());
 }
 
-// Story 14: batch fills a server; another VM sends a burst there, which this
-// one learns of by a message. Callers wait behind batch until it gives way.
+// Story 14: batch fills a server; another VM sends a burst of online requests
+// there, which this VM learns of by a message. Callers wait behind batch until
+// batch items are cancelled.
 TEST_F(DispatchTest, BatchGivesWayToANeighboursBurst)
 {
 	Build(1, 32);
-	MeetNeighbour();
+	ConnectNeighbour();
 	jj_name_t steward;
 	jj_name_t domain = Name("sala-a");
 	jj_name_t server = Name("server-0");
@@ -1086,7 +1099,7 @@
 	NeighbourLoad(0, 3, 0);
 	EXPECT_LE(jj_dispatch_next(dispatch), now);
 	Tick(0);
-	// Both go, the one that loses least work first.
+	// Both are cancelled, the one with least lost work first.
 	ASSERT_EQ(2u, cancels.size());
 	EXPECT_EQ(2u, cancels[0]);
 	EXPECT_EQ(JJ_GIVE_UP_OVERLOADED, AnswerOf(2)->reason);
@@ -1097,8 +1110,9 @@
 	EXPECT_EQ(2u, jj_dispatch_batch_room(dispatch, now));
 }
 
-// Story 14 with 10: a batch item whose service must not run twice is stopped
-// for a burst. It may have run, so it can never be sent again: no result.
+// Stories 14 and 10: a batch item of a non-idempotent service is cancelled for
+// a burst. As it may have run, it could never be retried and would have no
+// result.
 TEST_F(DispatchTest, NonIdempotentItemsAreNotWithdrawn)
 {
 	Build(1, 32);
@@ -1111,14 +1125,14 @@
 	EXPECT_EQ(2u, cancels[0]);
 }
 
-// Story 31: a neighbour freezes after it told of a hundred requests in
-// flight. Its word would keep a healthy server full for ever.
+// Story 31: a neighbour stalls after it reported a hundred requests in flight.
+// That report would keep a healthy server full for ever.
 TEST_F(DispatchTest, SilentNeighboursLoadLapses)
 {
 	Build(1, 8);
-	MeetNeighbour();
+	ConnectNeighbour();
 	NeighbourLoad(0, 100, 0);
-	// Beyond its own share, 4 of 8, this VM has to believe it.
+	// Above its own share, 4 of 8, this VM relies on the reported load.
 	for (uint64_t i = 1; i <= 5; i++)
 		BeginOnline(i);
 	EXPECT_EQ(0, StartsOf(5));
@@ -1128,12 +1142,12 @@
 	EXPECT_EQ(1, StartsOf(5));
 }
 
-// Story 31: as above, for batch: a server whose neighbours seem to run a
-// hundred requests gets no batch until the frozen one is no longer believed.
+// Story 31: the same for batch: a server at which a stalled neighbour seems to
+// run a hundred requests gets no batch until that report expires.
 TEST_F(DispatchTest, SilentNeighboursLoadDoesNotStopBatch)
 {
 	Build(1, 8);
-	MeetNeighbour();
+	ConnectNeighbour();
 	NeighbourLoad(0, 100, 0);
 	EXPECT_EQ(0u, jj_dispatch_batch_room(dispatch, now));
 	for (int i = 0; i < 6; i++)
@@ -1143,9 +1157,9 @@
 }
 
 // Stories 18 and 28: a network fault breaks a stream in the middle, or an
-// engine ends it early without its end mark. The caller has half an order; the
-// engine is well and still has the rest. Sent anew, the caller would get the
-// beginning twice; not resumed, it has to ask again for all of it.
+// engine ends it without its end mark. The caller has half the answer; the
+// engine is healthy and still has the rest. Restarted, the stream would repeat
+// its beginning; not resumed, the caller has to request all of it again.
 TEST_F(DispatchTest, BrokenStreamGoesOnAtItsServer)
 {
 	struct Case {
@@ -1195,9 +1209,9 @@
 			EXPECT_EQ(2u, starts[1].attempt);
 		}
 		Event(number, 2, row.then, row.relayed, 0, row.then_resumable);
-		Tick(SPREAD_MS);
+		Tick(CRASH_PROPAGATION_MS);
 		ASSERT_EQ((size_t)row.starts, starts.size());
-		// A resume goes to its own server, a fresh start elsewhere.
+		// A resume goes to the same server, a new start to another one.
 		if (row.starts == 3) {
 			EXPECT_EQ(row.then_resumable ? 1u : 0u,
 			    starts[2].resume_from);
@@ -1215,8 +1229,8 @@
 	Build(1, 8);
 }
 
-// Story 16 with 18: an engine breaks each stream again and again. Resumed
-// without a bound its streams come back for ever, as a retry storm would.
+// Stories 16 and 18: an engine breaks each stream repeatedly. Without a limit
+// its streams would be resumed for ever, like a retry storm.
 TEST_F(DispatchTest, ResumesAreBounded)
 {
 	retry_floor = 4;
@@ -1229,15 +1243,16 @@
 		ASSERT_NE(nullptr, AnswerOf(i));
 		EXPECT_EQ(JJ_GIVE_UP_BROKEN, AnswerOf(i)->reason);
 	}
-	// The floor's four are used up: they count as retries.
+	// The floor of four is used up: resumes count as retries.
 	BeginOnline(3);
 	Event(3, 1, JJ_BACKEND_BROKEN, true, 0, true);
 	EXPECT_EQ(1, StartsOf(3));
 	ASSERT_NE(nullptr, AnswerOf(3));
 }
 
-// Story 18 with 27: the break was the server's death. A resume would go to a
-// dead server; what broke there is a suspect, whoever sees the death first.
+// Stories 18 and 27: the stream broke because the server crashed. A resume
+// would go to a crashed server; the requests that broke there are suspects,
+// whoever detects the crash first.
 TEST_F(DispatchTest, NothingIsResumedAtADeadServer)
 {
 	bool is_news;
@@ -1247,14 +1262,14 @@
 	BeginOnline(1);
 	std::string first = starts[0].server;
 	jj_name_t name = Name(first);
-	// A neighbour has told of it already.
+	// A neighbour has reported the crash already.
 	jj_fleet_note(fleet, &name, JJ_SERVER_DOWN, 7, now, &out, &is_news);
 	Event(1, 1, JJ_BACKEND_BROKEN, false, 0, true);
-	Tick(SPREAD_MS);
+	Tick(CRASH_PROPAGATION_MS);
 	ASSERT_EQ(2u, starts.size());
 	EXPECT_NE(first, starts[1].server);
 	EXPECT_EQ(0u, starts[1].resume_from);
-	// The own probe sees it while the resume is under way.
+	// This VM's probe detects the crash while the resume is in progress.
 	BeginOnline(2);
 	std::string second = starts[2].server;
 	Event(2, 1, JJ_BACKEND_BROKEN, false, 0, true);
@@ -1268,10 +1283,11 @@
 	}
 }
 
-// Story 27 with 18: streams break as their server dies; their resumes find
-// nobody there, and the probes see the death last. Each of them may be the one
-// that killed it: one per server from now on, and all are in the report.
-TEST_F(DispatchTest, VainResumesAreSuspects)
+// Stories 27 and 18: streams break because their server crashed; their resumes
+// are refused there, and probes detect the crash last. Each of the requests may
+// have caused it: a server runs one of them at a time, and all are in the crash
+// report.
+TEST_F(DispatchTest, FailedResumesAreSuspects)
 {
 	retry_floor = 20;
 	Build(1, 8);
@@ -1285,7 +1301,7 @@
 	Tick(200);
 	for (uint64_t i = 1; i <= 3; i++)
 		Event(i, 2, JJ_BACKEND_NOT_SENT, i == 3);
-	Tick(SPREAD_MS);
+	Tick(CRASH_PROPAGATION_MS);
 	EXPECT_EQ(7u, starts.size());
 	EXPECT_EQ("server-1", starts.back().server);
 	ASSERT_NE(nullptr, AnswerOf(3));
@@ -1295,23 +1311,23 @@
 		    jj_quarantine_check(tested_quarantine, fingerprint, now));
 }
 
-// Story 16 with 18: a server dies with many streams. Were both the resume that
-// finds it dead and the fresh start charged, the budget would be gone with
-// the first few, and the other callers refused though servers are free.
-TEST_F(DispatchTest, StartAfterAVainResumeIsNotCharged)
+// Stories 16 and 18: a server crashes with many streams. If both the failed
+// resume and the new start were charged, the first few requests would use up
+// the retry budget, and other callers would be refused though servers are free.
+TEST_F(DispatchTest, StartAfterAFailedResumeIsNotCharged)
 {
 	retry_floor = 1;
 	Build(3, 8);
 	BeginOnline(1);
 	Event(1, 1, JJ_BACKEND_BROKEN, false, 0, true);
 	Event(1, 2, JJ_BACKEND_NOT_SENT);
-	Tick(SPREAD_MS);
+	Tick(CRASH_PROPAGATION_MS);
 	ASSERT_EQ(3u, starts.size());
 	EXPECT_NE(starts[0].server, starts[2].server);
 	EXPECT_EQ(0u, starts[2].resume_from);
 }
 
-// A batch item's stream goes on too: what it has generated is not lost.
+// A batch item's stream is resumed, too: its tokens so far are not lost.
 TEST_F(DispatchTest, BrokenBatchStreamGoesOn)
 {
 	Build(1, 32);
@@ -1325,15 +1341,15 @@
 	EXPECT_EQ(JJ_GIVE_UP_BROKEN, AnswerOf(1)->reason);
 }
 
-// Story 14 in a domain of ten VMs: a caller's request is on its way to a
-// server full of batch. Its steward hears of it in the same step; the eight
-// others, who only weigh servers, need not.
-TEST_F(DispatchTest, StewardHearsAtOnce)
+// Story 14 in a domain of ten VMs: an online request goes to a server full of
+// batch items. The steward is notified in the same step; the eight others only
+// use loads to order servers and can wait.
+TEST_F(DispatchTest, StewardIsNotifiedAtOnce)
 {
 	Build(8, 32);
-	MeetMany(9);
+	ConnectNeighbours(9);
 	Tick(1000);
-	told.clear();
+	sent_loads.clear();
 	for (uint64_t i = 1; i <= 8; i++) {
 		Tick(10);
 		BeginOnline(i);
@@ -1342,22 +1358,23 @@
 	for (const Start &start : starts) {
 		std::string steward = StewardOf(start.server);
 		if (steward != "vm-a") {
-			EXPECT_EQ(1, ToldOnline(steward, start.server));
+			EXPECT_EQ(1, ReportedOnline(steward, start.server));
 		}
 	}
 	size_t stewarded = 0;
 	for (int i = 0; i < 8; i++)
 		stewarded += StewardOf("server-" + std::to_string(i)) == "vm-a";
 	ASSERT_EQ(8u, starts.size());
-	EXPECT_EQ(8 - stewarded, told.size());
+	EXPECT_EQ(8 - stewarded, sent_loads.size());
 }
 
-// A steward that is never told that requests ended keeps batch away from an
-// idle server. It is told when there is something else to say, or in time.
-TEST_F(DispatchTest, StewardHearsOfTheEndInTime)
+// A steward that does not learn that requests ended keeps batch away from an
+// idle server. It learns of that with the next report of an increase, or with
+// the next regular report.
+TEST_F(DispatchTest, StewardIsNotifiedOfTheEndInTime)
 {
 	Build(1, 32);
-	MeetMany(9);
+	ConnectNeighbours(9);
 	std::string steward = StewardOf("server-0");
 	ASSERT_NE("vm-a", steward) << "choose other VM names";
 	Tick(1000);
@@ -1365,34 +1382,34 @@
 	Event(1, 1, JJ_BACKEND_DONE);
 	for (int i = 0; i < 40; i++)
 		Tick(20);
-	EXPECT_EQ(0, ToldOnline(steward, "server-0"));
+	EXPECT_EQ(0, ReportedOnline(steward, "server-0"));
 }
 
-// What VMs tell each other has to fit their control budget at any rate of
-// requests: here a request begins and ends each millisecond for 200 ms. With
-// 2 VMs all loads go out each 16 ms, and a steward hears of more each 5 ms.
+// Messages between VMs have to fit the control budget at any request rate: here
+// a request begins and ends each millisecond for 200 ms. With 2 VMs all loads
+// are sent each 16 ms, and an increase goes to the steward each 5 ms.
 TEST_F(DispatchTest, LoadMessagesAreSpaced)
 {
 	Build(4, 32);
-	MeetNeighbour();
-	told.clear();
+	ConnectNeighbour();
+	sent_loads.clear();
 	for (uint64_t i = 1; i <= 200; i++, now++) {
 		BeginOnline(i);
 		Event(i, 1, JJ_BACKEND_DONE);
 	}
-	EXPECT_LE(told.size(), 200u / 16 + 200u / 5 + 2);
-	EXPECT_GE(told.size(), 10u);
+	EXPECT_LE(sent_loads.size(), 200u / 16 + 200u / 5 + 2);
+	EXPECT_GE(sent_loads.size(), 10u);
 }
 
-// A server nearly has all the requests it can run. Here one more decides
-// whether the next VM's caller waits in a queue: all are told of it.
-TEST_F(DispatchTest, AllHearOfANearlyFullServer)
+// A server is nearly full. One more request decides whether a caller at another
+// VM waits in a queue, so all VMs are notified.
+TEST_F(DispatchTest, NeighboursAreNotifiedOfANearlyFullServer)
 {
 	struct Case {
 		const char *name;
 		uint32_t others;
 		uint32_t own;
-		bool told;
+		bool sent_loads;
 	} cases[] = {
 	    {"far from full", 2, 1, false},
 	    {"by two", 2, 2, true},
@@ -1403,29 +1420,29 @@
 		SCOPED_TRACE(row.name);
 		starts.clear();
 		Build(1, 32);
-		MeetMany(9);
+		ConnectNeighbours(9);
 		jj_name_t from = Name("vm-c0");
 		jj_name_t server = Name("server-0");
 		jj_load_t load = {
 		    jj_dispatch_hash_server(&server), row.others, 0, 0};
 		jj_dispatch_take_loads(dispatch, &from, &load, 1, now);
 		Tick(1000);
-		told.clear();
+		sent_loads.clear();
 		for (uint32_t i = 1; i <= row.own; i++)
 			BeginOnline(i);
 		Tick(500);
 		int heard = 0;
 		for (const auto &one : others)
-			heard +=
-			    ToldOnline(one.first, "server-0") == (int)row.own;
-		EXPECT_EQ(row.told ? 9 : 1, heard);
+			heard += ReportedOnline(one.first, "server-0") ==
+			    (int)row.own;
+		EXPECT_EQ(row.sent_loads ? 9 : 1, heard);
 		TearDown();
 	}
 	Build(1, 8);
 }
 
-// A load message is lost, or its change was too small to be told: a neighbour
-// would be wrong about that server for ever. Heartbeats name all in turn.
+// A load message is lost, or a change was too small to be reported: without the
+// rotation of servers in heartbeats a neighbour would be wrong for ever.
 TEST_F(DispatchTest, HeartbeatsNameAllServersInTurn)
 {
 	for (int servers : {1, 8, 9, 100}) {
@@ -1447,34 +1464,34 @@
 	Build(1, 8);
 }
 
-// Story 29: a VM is replaced. Nothing changes meanwhile, so nobody would tell
-// the new one what runs; it takes full servers for idle ones.
+// Story 29: a VM is replaced. Loads do not change meanwhile, so nothing would
+// be reported to the new process, which would take full servers for idle ones.
 TEST_F(DispatchTest, NewNeighbourIsToldOfAllThatRuns)
 {
 	Build(3, 32);
 	for (uint64_t i = 1; i <= 3; i++)
 		BeginOnline(i);
 	Tick(200);
-	told.clear();
-	MeetNeighbour();
+	sent_loads.clear();
+	ConnectNeighbour();
 	Tick(200);
 	for (const Start &start : starts)
-		EXPECT_EQ(1, ToldOnline("vm-b", start.server));
+		EXPECT_EQ(1, ReportedOnline("vm-b", start.server));
 }
 
-// Story 17: a team floods the other VM, which refills each place as it gets
-// free. This VM's caller would wait until the flood ends.
+// Story 17: a team floods the other VM, which refills each slot as it becomes
+// free. A caller at this VM would wait until the flood ends.
 TEST_F(DispatchTest, FloodElsewhereLeavesThisVmItsShare)
 {
 	Build(1, 8);
-	MeetNeighbour();
+	ConnectNeighbour();
 	NeighbourLoad(0, 8, 0);
 	BeginOnline(1);
 	EXPECT_EQ(1, StartsOf(1));
 }
 
-// Story 24: a VM stops as planned. Requests in progress go on to their end,
-// new ones are told at once to ask elsewhere.
+// Story 24: a planned stop. Requests in progress run to their end; new ones are
+// refused at once, so that callers use another VM.
 TEST_F(DispatchTest, LeavingVmFinishesWhatItHas)
 {
 	Build(1, 8);
@@ -1508,7 +1525,7 @@
 		SCOPED_TRACE(row.name);
 		starts.clear();
 		Build(4, 32);
-		MeetNeighbour();
+		ConnectNeighbour();
 		jj_request_t request = Request(1);
 		request.prefix_count = 8;
 		for (int i = 0; i < 8; i++)
@@ -1531,7 +1548,7 @@
 	Build(1, 8);
 }
 
-TEST_F(DispatchTest, NoServerIsSaidAtOnce)
+TEST_F(DispatchTest, AbsenceOfServersIsReportedAtOnce)
 {
 	Build(0, 8);
 	BeginOnline(1);
@@ -1541,7 +1558,7 @@
 	EXPECT_GT(AnswerOf(1)->retry_after_ms, 0);
 }
 
-// A server whose step takes 10 ms up to `soft` streams and longer beyond.
+// A server whose step takes 10 ms with up to `soft` streams, longer with more.
 struct Curve {
 	uint32_t soft;
 	double slow;
@@ -1556,8 +1573,8 @@
 	    uint32_t)(running <= curve.soft ? gap : gap * running / curve.soft);
 }
 
-// One server as the engine's interface describes it: it takes requests in at
-// its next step and reports snapshots taken between two steps.
+// One server that behaves as the engine's interface specifies: it admits
+// requests at its next step and reports snapshots taken between two steps.
 class BatchAtEngineTest : public DispatchTest
 {
       protected:
@@ -1570,11 +1587,12 @@
 	struct Run {
 		uint64_t request;
 		int tokens;
-		int told;
-		jj_ms_t told_ms;
+		int sent_loads;
+		jj_ms_t load_report_ms;
 	};
 
-	// Time until so many items are done, the first report after @p first.
+	// Time until `items` items are done; the first report is sent after @p
+	// first.
 	jj_ms_t
 	RunItems(uint64_t items, size_t slots, jj_ms_t first, jj_ms_t most)
 	{
@@ -1604,8 +1622,8 @@
 				}
 			}
 			if (now - begun >= SETTLED_MS)
-				most_late = std::max(
-				    most_late, waiting.size() + running.size());
+				settled_max = std::max(settled_max,
+				    waiting.size() + running.size());
 			Tick(5);
 		}
 		return now - begun;
@@ -1617,11 +1635,11 @@
 		for (auto run = running.begin(); run != running.end();) {
 			if (++run->tokens == 1) {
 				Event(run->request, 1, JJ_BACKEND_FIRST);
-				run->told = 1;
-				run->told_ms = now;
+				run->sent_loads = 1;
+				run->load_report_ms = now;
 			}
 			if (run->tokens < TOKENS) {
-				if (now >= run->told_ms + TOKENS_MS)
+				if (now >= run->load_report_ms + TOKENS_MS)
 					Tell(*run);
 				run++;
 				continue;
@@ -1637,9 +1655,9 @@
 	Tell(Run &run)
 	{
 		Event(run.request, 1, JJ_BACKEND_TOKENS, false,
-		    run.tokens - run.told);
-		run.told = run.tokens;
-		run.told_ms = now;
+		    run.tokens - run.sent_loads);
+		run.sent_loads = run.tokens;
+		run.load_report_ms = now;
 	}
 
 	void
@@ -1662,12 +1680,15 @@
 
 	uint64_t done = 0;
 	uint64_t sent_items = 0;
-	size_t most_late = 0; // at the server once the limit has settled
+	size_t settled_max =
+	    0; // maximum at the server after the limit has settled
 	std::vector<uint64_t> waiting;
 	std::vector<Run> running;
 };
 
-/* Guards against a server with free places that gets one batch item at a time. */
+/*
+ * Guards against a server with free slots that gets one batch item at a time.
+ */
 TEST_F(BatchAtEngineTest, RunsManyItemsWhateverAReportCatches)
 {
 	for (jj_ms_t first = 0; first < REPORT_MS; first += STEP_MS / 2) {
@@ -1683,17 +1704,17 @@
 	Build(1, 32);
 }
 
-/* Guards against batch that fills the queue of a server with fewer places. */
+/* Guards against batch that fills the queue of a server with fewer slots. */
 TEST_F(BatchAtEngineTest, KeepsToThePlacesAServerHas)
 {
 	Build(1, 32);
 	Tick(100);
 	EXPECT_LT(RunItems(600, 8, 0, 60000), 60000);
-	EXPECT_GE(most_late, 8u);
-	EXPECT_LE(most_late, 12u);
+	EXPECT_GE(settled_max, 8u);
+	EXPECT_LE(settled_max, 12u);
 }
 
-/* Guards against a server that got its places back and stays at one item. */
+/* Guards against a server that regains slots but stays at one item. */
 TEST_F(BatchAtEngineTest, FindsPlacesThatCameFree)
 {
 	Build(1, 32);
@@ -1704,8 +1725,8 @@
 	EXPECT_LE(RunItems(200, 32, 0, 60000), 20000);
 }
 
-// Story 14: the load report lags, so a limit taken from it is wrong by what
-// came since. The limit must be found from the gaps between tokens alone.
+// Story 14: a load report lags, so a limit derived from it ignores the requests
+// since. The limit must be found from the gaps between tokens alone.
 TEST(Headroom, FindsTheBendOfTheCurve)
 {
 	struct Case {
@@ -1740,7 +1761,8 @@
 			use.batch -= excess;
 			if (row.items_end && step % 5 == 0 && use.batch > 0)
 				use.batch--;
-			use.batch += jj_headroom_room(&headroom, &use, now);
+			use.batch +=
+			    jj_headroom_free_slots(&headroom, &use, now);
 			uint32_t running = use.online + use.batch;
 			for (uint32_t i = 0; i < 2 * running; i++)
 				jj_headroom_add_gap(
--- a/tests/core/dispatch_views_test.cc
+++ b/tests/core/dispatch_views_test.cc
@@ -1,4 +1,4 @@
-// Dispatch: its views of the servers follow the fleet when it changes.
+// Tests of dispatch's views of the servers, which follow changes of the fleet.
 
 #include <gtest/gtest.h>
 
@@ -21,10 +21,10 @@
 }
 
 /*
- * A server comes back, or the list says that it leaves, while nothing else
- * changes. Callers of a service with one server were refused for seconds, or
- * sent to a server that drains, as the views of the servers were only renewed
- * on changes and this was held for none.
+ * A server restarts, or the list says that it is leaving, while nothing else
+ * changes. The change was not recognised as one, so the views were not
+ * refreshed: callers of a service with one server were refused for seconds, or
+ * sent to a draining server.
  */
 class DispatchViews : public ::testing::Test
 {
@@ -122,7 +122,7 @@
 		now += 100;
 		jj_dispatch_tick(dispatch, now, &out);
 	}
-	// The server that a request is sent to, or "".
+	// The server that a request is sent to, or "" for none.
 	std::string
 	Send()
 	{
@@ -160,7 +160,7 @@
 	jj_dispatch_t *dispatch;
 };
 
-TEST_F(DispatchViews, FollowOwnSigns)
+TEST_F(DispatchViews, FollowOwnObservations)
 {
 	List("live", "sala-a");
 	EXPECT_EQ(Send(), "near");
@@ -189,9 +189,10 @@
 }
 
 /*
- * A server that came behind those of other domains was given no batch and told
- * to no neighbour: whoever needs the own domain's servers only stops at the
- * first other one. They stay first, whichever came first.
+ * A server of this domain that was listed after those of other domains got no
+ * batch and was in no load report: code that needs only local servers stops at
+ * the first remote one. Local servers stay first, in whatever order they
+ * arrive.
  */
 TEST_F(DispatchViews, FollowAMoveBetweenDomains)
 {
--- a/tests/core/headroom_test.cc
+++ b/tests/core/headroom_test.cc
@@ -1,6 +1,6 @@
 /**
  * @file headroom_test.cc
- * @brief Reports of a server's load against the batch limit.
+ * @brief A server's load reports and the batch limit derived from them.
  */
 #include <gtest/gtest.h>
 
@@ -22,14 +22,14 @@
 struct ReportCase {
 	const char *name;
 	std::vector<Report> reports;
-	uint32_t room; /* of 12 at first */
+	uint32_t room; /* free capacity afterwards; 12 at the start */
 };
 
 class HeadroomReport : public ::testing::TestWithParam<ReportCase>
 {
 };
 
-/* Guards against a limit taken from arrivals, or over the places. */
+/* Guards against a limit derived from arrivals, or above the server's slots. */
 TEST_P(HeadroomReport, BoundsTheLimitByAQueueThatLasts)
 {
 	jj_headroom_t headroom;
@@ -39,7 +39,8 @@
 	for (const Report &report : GetParam().reports)
 		jj_headroom_note_report(
 		    &headroom, report.running, report.waiting, report.taken_ms);
-	EXPECT_EQ(GetParam().room, jj_headroom_room(&headroom, &use, 99000));
+	EXPECT_EQ(
+	    GetParam().room, jj_headroom_free_slots(&headroom, &use, 99000));
 }
 
 INSTANTIATE_TEST_SUITE_P(Reports, HeadroomReport,
