--- a/tests/core/load_world.h
+++ b/tests/core/load_world.h
@@ -1,11 +1,12 @@
 /**
  * @file load_world.h
- * @brief A fleet of gateways under load: engines and callers in virtual time.
+ * @brief Simulates a fleet of gateways under load: engines and callers in
+ * virtual time.
  *
- * Engines run a known number of requests at once and let the others wait in
- * the order of arrival. Callers are refused now and then, come back when they
- * are told to, as often as they may, and go away when their time is over.
- * Nothing sleeps; a seed gives the same figures on each machine.
+ * Engines run a known number of requests at once and queue the others in order
+ * of arrival. Callers whose requests are refused retry after the given time, a
+ * limited number of times, and leave when their time budget is used up. Nothing
+ * sleeps; a seed gives the same figures on each machine.
  */
 #ifndef TESTS_CORE_LOAD_WORLD_H
 #define TESTS_CORE_LOAD_WORLD_H
@@ -18,35 +19,36 @@
 
 #include "tests/core/gateway_fleet.h"
 
-/** Shape of a load; the figures are of the users' sheets. */
+/** Parameters of a load; the figures are from the users' sheets. */
 struct LoadShape {
 	int vms = 6;
 	int servers = 9;
 	uint32_t slots = 8;
-	uint32_t queue_most = 6; /**< the daemon's own default */
-	jj_ms_t prefill_ms = 18; /**< first event at a free place */
-	jj_ms_t hold_ms = 600; /**< of an online request, prefill included */
+	uint32_t queue_most = 6; /**< default of the daemon */
+	jj_ms_t prefill_ms = 18; /**< time to the first event at a free slot */
+	jj_ms_t service_ms =
+	    600; /**< service time of an online request, prefill included */
 	jj_ms_t target_ms = 300;
 	jj_ms_t budget_ms = 5000;
-	int returns = 1; /**< a caller comes back so often */
-	bool says_target = true; /**< the configuration tells the target */
+	int retries = 1; /**< retries per caller */
+	bool has_target = true; /**< the configuration contains the target */
 
-	/** Requests a second that all places serve. */
+	/** Requests per second that all slots can serve. */
 	double
 	limit() const
 	{
-		return servers * slots * 1000.0 / (double)hold_ms;
+		return servers * slots * 1000.0 / (double)service_ms;
 	}
 };
 
-/** What became of the requests that were first sent in one second. */
+/** Results of the requests that were first sent in one second. */
 struct LoadSecond {
 	int asked = 0;
-	int in_aim = 0; /**< first event within the target */
-	int again = 0; /**< refused, then within the target of the return */
+	int in_target = 0; /**< first event within the target */
+	int again = 0; /**< refused, then within the target after the retry */
 	int late = 0;
-	int refused = 0; /**< in the end */
-	int lost = 0; /**< no answer in time, or broken off */
+	int refused = 0; /**< refused without a further retry */
+	int lost = 0; /**< no answer in time, or a broken one */
 };
 
 class LoadWorld : public GatewayFleet
@@ -54,9 +56,9 @@
       public:
 	struct Caller {
 		jj_ms_t begun = 0;
-		jj_ms_t attempt = 0; /**< when the one under way was sent */
+		jj_ms_t attempt = 0; /**< when the current attempt was sent */
 		std::string vm;
-		int returns = 0;
+		int retries = 0;
 		bool refused = false;
 		bool first = false;
 	};
@@ -64,29 +66,29 @@
 		uint64_t request;
 		uint32_t attempt;
 		std::string vm;
-		jj_ms_t began = 0; /**< its place; 0: it waits */
+		jj_ms_t began = 0; /**< when it got its slot; 0: it is queued */
 		bool first = false;
 	};
 	struct Engine {
 		bool up = true;
-		std::list<Run> runs; /**< in the order of arrival */
+		std::list<Run> runs; /**< in order of arrival */
 	};
 
 	LoadShape shape;
 	std::mt19937_64 random;
 	std::map<std::string, Engine> engines;
 	std::map<uint64_t, Caller> callers;
-	std::multimap<jj_ms_t, Caller> returning;
+	std::multimap<jj_ms_t, Caller> retrying;
 	std::map<jj_ms_t, LoadSecond> seconds;
-	jj_ms_t zero = 0; /**< when the load began */
-	double owed = 0; /**< arrivals that are due */
+	jj_ms_t start_ms = 0; /**< start time of the load */
+	double arrivals_due = 0; /**< number of arrivals that are due */
 
 	explicit LoadWorld(const LoadShape &of, uint64_t seed = 1)
 	    : GatewayFleet(of.vms, of.queue_most), shape(of), random(seed)
 	{
 		for (auto &route : routes) {
 			route.target_ms =
-			    shape.says_target ? shape.target_ms : 0;
+			    shape.has_target ? shape.target_ms : 0;
 			route.attempts = 2;
 			route.resumable = true;
 		}
@@ -96,7 +98,7 @@
 		for (int i = 1; i <= shape.servers; i++)
 			add_server("s" + std::to_string(i));
 		run(1000);
-		zero = now;
+		start_ms = now;
 	}
 	void
 	TestBody() override
@@ -114,7 +116,10 @@
 			see(vm.first, 2, ("servers/" + id).c_str(),
 			    entry.c_str());
 	}
-	/** It dies with all that it runs; connections to it are refused. */
+	/**
+	 * Crashes an engine with all that it runs; connections to it are
+	 * refused.
+	 */
 	void
 	crash(const std::string &id)
 	{
@@ -123,21 +128,23 @@
 		engines[id].up = false;
 		runs.swap(engines[id].runs);
 		for (const Run &run : runs)
-			tell(run, JJ_BACKEND_BROKEN);
+			deliver(run, JJ_BACKEND_BROKEN);
 	}
-	/** Load of @p rate requests a second for so long. */
+	/**
+	 * Runs a load of @p rate requests per second for @p ms milliseconds.
+	 */
 	void
 	load(jj_ms_t ms, double rate)
 	{
 		for (jj_ms_t until = now + ms; now < until;) {
 			arrive(rate);
-			come_back();
+			send_retries();
 			serve();
-			leave();
+			expire_callers();
 			run(FLEET_STEP_MS);
 		}
 	}
-	/** Sums over the seconds from..to of the load. */
+	/** Sums the results of the seconds from..to of the load. */
 	LoadSecond
 	sum(int from, int to) const
 	{
@@ -147,7 +154,7 @@
 			if (second.first < from || second.first >= to)
 				continue;
 			all.asked += second.second.asked;
-			all.in_aim += second.second.in_aim;
+			all.in_target += second.second.in_target;
 			all.again += second.second.again;
 			all.late += second.second.late;
 			all.refused += second.second.refused;
@@ -166,7 +173,7 @@
 			char line[100];
 
 			snprintf(line, sizeof(line), "%d %d %d %d %d %d %d\n",
-			    (int)second.first, of.asked, of.in_aim, of.again,
+			    (int)second.first, of.asked, of.in_target, of.again,
 			    of.late, of.refused, of.lost);
 			text += line;
 		}
@@ -187,15 +194,15 @@
 	}
 
       private:
-	std::vector<std::pair<Run, jj_backend_kind_t>> told;
+	std::vector<std::pair<Run, jj_backend_kind_t>> pending_events;
 
 	void
 	arrive(double rate)
 	{
 		std::exponential_distribution<double> gap(1.0);
 
-		for (owed += rate * FLEET_STEP_MS / 1000.0; owed > 0;
-		     owed -= gap(random)) {
+		for (arrivals_due += rate * FLEET_STEP_MS / 1000.0;
+		     arrivals_due > 0; arrivals_due -= gap(random)) {
 			Caller caller;
 
 			caller.begun = now;
@@ -204,12 +211,12 @@
 		}
 	}
 	void
-	come_back()
+	send_retries()
 	{
-		while (!returning.empty() && returning.begin()->first <= now) {
-			Caller caller = returning.begin()->second;
+		while (!retrying.empty() && retrying.begin()->first <= now) {
+			Caller caller = retrying.begin()->second;
 
-			returning.erase(returning.begin());
+			retrying.erase(retrying.begin());
 			send(caller);
 		}
 	}
@@ -234,7 +241,7 @@
 	LoadSecond &
 	second_of(const Caller &caller)
 	{
-		return seconds[(caller.begun - zero) / 1000];
+		return seconds[(caller.begun - start_ms) / 1000];
 	}
 	void
 	start(const std::string &vm, const jj_backend_start_t &action)
@@ -243,7 +250,7 @@
 		Run run = {action.request, action.attempt, vm};
 
 		if (!engine.up) {
-			told.push_back({run, JJ_BACKEND_NOT_SENT});
+			pending_events.push_back({run, JJ_BACKEND_NOT_SENT});
 			return;
 		}
 		engine.runs.push_back(run);
@@ -268,30 +275,33 @@
 		caller = found->second;
 		callers.erase(found);
 		if (answer.run != JJ_RUN_NOT_RUN ||
-		    caller.returns == shape.returns) {
+		    caller.retries == shape.retries) {
 			(answer.run == JJ_RUN_NOT_RUN
 				? second_of(caller).refused
 				: second_of(caller).lost)++;
 			return;
 		}
-		caller.returns++;
+		caller.retries++;
 		caller.refused = true;
-		returning.insert({now +
+		retrying.insert({now +
 			std::min(answer.retry_after_ms,
 			    (caller.begun + shape.budget_ms - now) / 3),
 		    caller});
 	}
-	/** Places go to who came first; what is told comes a step later. */
+	/**
+	 * Slots go to requests in order of arrival; events are delivered a step
+	 * later.
+	 */
 	void
 	serve()
 	{
 		std::vector<std::pair<Run, jj_backend_kind_t>> events;
 
-		events.swap(told);
+		events.swap(pending_events);
 		for (auto &engine : engines)
 			serve_at(engine.second, events);
 		for (auto &event : events)
-			tell(event.first, event.second);
+			deliver(event.first, event.second);
 	}
 	void
 	serve_at(Engine &engine,
@@ -309,7 +319,7 @@
 				run->first = true;
 				events.push_back({*run, JJ_BACKEND_FIRST});
 			}
-			if (now - run->began < shape.hold_ms) {
+			if (now - run->began < shape.service_ms) {
 				++run;
 				continue;
 			}
@@ -318,7 +328,7 @@
 		}
 	}
 	void
-	tell(const Run &run, jj_backend_kind_t kind)
+	deliver(const Run &run, jj_backend_kind_t kind)
 	{
 		jj_actions_t out = TAILQ_HEAD_INITIALIZER(out);
 		jj_backend_event_t event = {};
@@ -345,16 +355,16 @@
 		Caller &caller = found->second;
 		caller.first = true;
 		if (now - caller.begun <= shape.target_ms)
-			second_of(caller).in_aim++;
+			second_of(caller).in_target++;
 		else if (caller.refused &&
 		    now - caller.attempt <= shape.target_ms)
 			second_of(caller).again++;
 		else
 			second_of(caller).late++;
 	}
-	/** Callers whose time is over. */
+	/** Removes callers whose time budget is used up. */
 	void
-	leave()
+	expire_callers()
 	{
 		std::vector<uint64_t> gone;
 
--- a/tests/core/overload_test.cc
+++ b/tests/core/overload_test.cc
@@ -1,30 +1,36 @@
 /**
  * @file overload_test.cc
- * @brief More is asked than there are places: who is served in time.
+ * @brief More load than slots: which share is served in time.
  *
- * The limit is what a scheduler that knows all could serve in time: all places,
- * held as long as a request runs. Shapes are those of the users' sheets: 9
- * servers of 8 places behind 6 VMs, a first event 18 ms after a place is free, a
- * place held 0.6 s, a target of 300 ms, 5 s of patience, one return.
+ * The limit is what an ideal scheduler could serve in time: all slots, each
+ * held for a request's service time. Shapes are those of the users' sheets: 9
+ * servers of 8 slots behind 6 VMs, a first event 18 ms after a slot is free, a
+ * service time of 0.6 s, a target of 300 ms, callers that wait 5 s and retry
+ * once.
  */
 #include "tests/core/load_world.h"
 
 namespace
 {
 
-/** One seed moves by a tenth; the mean of these by about two hundredths. */
+/**
+ * Single seeds differ by a tenth; the mean of these by about two hundredths.
+ */
 constexpr int SEEDS = 6;
 
-/** Served in time, at once or after a refusal, as a share of @p limit. */
+/** Share of @p limit that was served in time, at once or after a refusal. */
 double
 share(const LoadWorld &world, int from, int to, double limit)
 {
 	LoadSecond sum = world.sum(from, to);
 
-	return (sum.in_aim + sum.again) / ((to - from) * limit);
+	return (sum.in_target + sum.again) / ((to - from) * limit);
 }
 
-/** Each two seconds from..to serve 0.6 of the limit in time at least. */
+/**
+ * Checks that each two seconds in from..to serve at least 0.6 of the limit in
+ * time.
+ */
 void
 expect_steady(const LoadWorld &world, int from, int to, double limit)
 {
@@ -36,7 +42,7 @@
 
 struct OverCase {
 	const char *name;
-	double times; /**< of the limit */
+	double times; /**< load as a multiple of the limit */
 };
 
 class Overload : public ::testing::TestWithParam<OverCase>
@@ -44,8 +50,8 @@
 };
 
 /*
- * A peak asks 1.2 to 2 times what the places allow, for ten seconds. In one
- * queue all were late; now what the places allow is served in time.
+ * A peak sends 1.2 to 2 times the capacity for ten seconds. In one queue all
+ * requests were late; now as many as the slots allow are served in time.
  */
 TEST_P(Overload, WhatPlacesAllowIsServedInTime)
 {
@@ -70,7 +76,7 @@
 	OverCase{"Fifth", 1.2}, OverCase{"Half", 1.5}, OverCase{"Twice", 2.0}),
     [](const auto &info) { return std::string(info.param.name); });
 
-/* A third of the servers is gone at once, in a peak that filled all places. */
+/* A third of the servers fails at once, in a peak that filled all slots. */
 TEST(OverloadFailure, AThirdOfTheServersIsLostInAPeak)
 {
 	LoadShape shape;
--- a/tests/core/quarantine_test.cc
+++ b/tests/core/quarantine_test.cc
@@ -1,6 +1,6 @@
 /**
  * @file quarantine_test.cc
- * @brief Requests that crash servers are refused; the others are not.
+ * @brief Requests that crash servers are refused; others are not.
  */
 #include <initializer_list>
 
@@ -52,9 +52,11 @@
 	jj_ms_t now = 1000;
 };
 
-/* One request crashes each server that runs it, and its caller sends it again
- * through other VMs. Each crash takes tens of others down with it. After the
- * second server it is refused; the others run on and are cleared. */
+/*
+ * One request crashes each server that runs it, and its caller sends it again
+ * through other VMs. Each crash breaks tens of other requests. After the second
+ * server it is refused; the others run on and are cleared.
+ */
 TEST_F(Quarantine, TheSecondCrashRefusesThePoisonAndNobodyElse)
 {
 	crash("s1", 1, {1, 2, 3, POISON});
@@ -75,8 +77,10 @@
 	EXPECT_EQ(check(POISON), JJ_QUARANTINE_REFUSED);
 }
 
-/* Every VM that had requests on the dead server reports it, some twice. If
- * each report counted, one crash would refuse all that were there. */
+/*
+ * Every VM that had requests on the crashed server reports it, some twice. If
+ * each report counted, one crash would refuse all that were there.
+ */
 TEST_F(Quarantine, OneDeathCountsOnceWhoeverTellsIt)
 {
 	const struct {
@@ -110,24 +114,27 @@
 	EXPECT_EQ(check(POISON), JJ_QUARANTINE_REFUSED);
 }
 
-/* Two VMs meet again after a cut. Each has seen one death of its own and both
- * have seen a third: none counts twice, and what is refused stays so for as
- * long as it would have, not longer. */
+/*
+ * Two VMs connect again after a network partition. Each has seen one crash of
+ * its own and both have seen a third: none counts twice, and a request is
+ * refused for as long as without the exchange, not longer.
+ */
 TEST_F(Quarantine, WhatANeighbourTellsCountsEachDeathOnce)
 {
 	jj_quarantine_settings_t settings = {2, 600000, 3600000, 100};
 	jj_quarantine_t *other = jj_quarantine_create(&settings);
-	jj_struck_t told[2] = {};
+	jj_struck_t listed[2] = {};
 
 	crash("s1", 1, {1, POISON});
 	crash("s2", 1, {POISON});
 	now += 1000;
-	ASSERT_EQ(jj_quarantine_list(quarantine, now, told, 2), 2u);
-	EXPECT_EQ(told[0].fingerprint, POISON) << "the refused come first";
-	EXPECT_EQ(told[0].death_count, 2u);
-	EXPECT_EQ(told[0].age_ms, 1000);
+	ASSERT_EQ(jj_quarantine_list(quarantine, now, listed, 2), 2u);
+	EXPECT_EQ(listed[0].fingerprint, POISON)
+	    << "refused requests come first";
+	EXPECT_EQ(listed[0].death_count, 2u);
+	EXPECT_EQ(listed[0].age_ms, 1000);
 	for (int i = 0; i < 2; i++)
-		jj_quarantine_take_struck(other, told, 2, now, &out);
+		jj_quarantine_take_history(other, listed, 2, now, &out);
 	EXPECT_EQ(
 	    jj_quarantine_check(other, POISON, now), JJ_QUARANTINE_REFUSED);
 	EXPECT_EQ(jj_quarantine_check(other, 1, now), JJ_QUARANTINE_SUSPECT);
@@ -136,7 +143,7 @@
 	    jj_quarantine_check(other, POISON, now), JJ_QUARANTINE_REFUSED);
 	now += 1;
 	EXPECT_EQ(jj_quarantine_check(other, POISON, now), JJ_QUARANTINE_CLEAN);
-	EXPECT_EQ(jj_quarantine_list(quarantine, now, told, 2), 0u);
+	EXPECT_EQ(jj_quarantine_list(quarantine, now, listed, 2), 0u);
 	jj_quarantine_destroy(other);
 }
 
@@ -149,7 +156,7 @@
 	now += 1;
 	EXPECT_EQ(check(1), JJ_QUARANTINE_CLEAN);
 	crash("s3", 1, {1});
-	EXPECT_EQ(check(1), JJ_QUARANTINE_SUSPECT) << "the first one lapsed";
+	EXPECT_EQ(check(1), JJ_QUARANTINE_SUSPECT) << "the first one expired";
 	EXPECT_EQ(check(POISON), JJ_QUARANTINE_REFUSED);
 	now += 3000000;
 	EXPECT_EQ(check(POISON), JJ_QUARANTINE_CLEAN);
--- a/tests/core/slots_test.cc
+++ b/tests/core/slots_test.cc
@@ -1,6 +1,6 @@
 /**
  * @file slots_test.cc
- * @brief Places at servers: online first, batch in what is left.
+ * @brief Request slots at servers: online first, batch in the remaining ones.
  */
 #include <set>
 #include <string>
@@ -55,7 +55,7 @@
 		(void)jj_slots_learn(slots, &info, 1000);
 		return jj_slots_find(slots, id);
 	}
-	/** As if so many requests of this VM ran there. */
+	/** Counts requests of this VM as running there. */
 	static void
 	fill(jj_slot_server_t *server, int online, int batch)
 	{
@@ -139,8 +139,10 @@
 	EXPECT_FALSE(full);
 }
 
-/* Guards against a server that stays full in the eyes of all other VMs: the
- * one that had filled it has requests at very many servers. */
+/*
+ * Guards against a server that stays full in the other VMs' records when the VM
+ * that filled it runs requests at very many servers.
+ */
 TEST_F(Slots, AWholeListOfLoadsReplacesTheLastOne)
 {
 	constexpr uint32_t COUNT = 300;
@@ -188,22 +190,25 @@
 	EXPECT_EQ("s1", online(nullptr, 1600));
 	jj_slots_note_first(server, 40, 1900);
 	jj_slots_note_failure(server, 2000);
-	EXPECT_EQ("s1", online(nullptr, 2200)) << "a success forgets them";
+	EXPECT_EQ("s1", online(nullptr, 2200))
+	    << "a success ends the cool-down";
 }
 
 /*
- * Three servers had gone dark. They seemed empty, so each VM sent online
- * requests there whenever they had rested, and each of those was late by the
- * time of a connection that never came. An item tries such a server first.
+ * Three servers were unreachable. They seemed empty, so each VM sent online
+ * requests there after each cool-down, and each of these was late by the
+ * timeout of a connection that was never accepted. Batch items test such a
+ * server first.
  */
-TEST_F(Slots, AServerInDoubtIsTriedByBatch)
+TEST_F(Slots, ASuspectedServerIsTriedByBatch)
 {
 	jj_slot_server_t *dark = learn("s1");
 	jj_slot_server_t *busy = learn("s2");
 
 	EXPECT_TRUE(jj_slots_note_failure(dark, 1000));
 	fill(busy, 0, 4);
-	EXPECT_EQ("s2", online(nullptr, 1300)) << "an item gives way";
+	EXPECT_EQ("s2", online(nullptr, 1300))
+	    << "a batch item can be cancelled";
 	EXPECT_EQ(dark,
 	    jj_slots_choose_batch(slots, &dark->info.service, nullptr, 1300));
 	for (int i = 0; i < 4; i++)
@@ -236,9 +241,9 @@
 }
 
 /*
- * The platform is away, servers cannot renew and their entries lapse. When it
- * is back its list is empty for a moment: requests must go on to the servers
- * that are known until they had time to come back, and no longer.
+ * The platform is down, so servers cannot renew their entries, which expire.
+ * After it returns its list is empty for a moment: requests must go to the
+ * known servers until they had time to register again, and no longer.
  */
 TEST_F(Slots, AnEntryThatLapsedIsKeptForAWhile)
 {
@@ -265,10 +270,10 @@
 }
 
 /*
- * Thirty VMs of other domains know the same old loads of this server: they all
- * saw it empty and sent there at once, and it had three times its places.
+ * Thirty VMs of other domains have the same outdated loads of this server: all
+ * saw it empty and sent requests at once, three times its slots.
  */
-TEST_F(Slots, AServerAbroadIsOfferedToAFewVms)
+TEST_F(Slots, ARemoteServerIsAssignedToAFewVms)
 {
 	int offered = 0;
 
@@ -286,7 +291,8 @@
 		offered += server->batch > 0;
 	EXPECT_LT(8, offered);
 	EXPECT_GT(40, offered) << "about a tenth of them";
-	EXPECT_NE("", online()) << "online goes anywhere before it is refused";
+	EXPECT_NE("", online())
+	    << "online uses any server before it is refused";
 }
 
 struct IdleCase {
@@ -300,7 +306,9 @@
 {
 };
 
-/* Guards against items that wait for ever though a server of theirs is idle. */
+/*
+ * Guards against items that wait for ever though one of their servers is idle.
+ */
 TEST_P(SlotsIdle, TakesAnItem)
 {
 	jj_slot_server_t *server =
@@ -309,7 +317,7 @@
 	jj_slots_set_vms(slots, 10, GetParam().far_vms);
 	EXPECT_EQ("s1", batch());
 	fill(server, (int)GetParam().places, 0);
-	EXPECT_EQ("", batch()) << "online goes first";
+	EXPECT_EQ("", batch()) << "online has priority";
 }
 
 INSTANTIATE_TEST_SUITE_P(Servers, SlotsIdle,
@@ -320,7 +328,7 @@
 	IdleCase{"OfferedToOtherVms", "mantova", 8, 1000}),
     [](const auto &info) { return std::string(info.param.name); });
 
-/* Each request looks at some servers only, but never is refused for that. */
+/* Each request considers some of the servers, but is never refused for that. */
 TEST_F(Slots, ManyVmsDoNotAllChooseTheSameServer)
 {
 	std::set<std::string> chosen;
@@ -345,7 +353,7 @@
 	EXPECT_EQ(1U, loads[0].online);
 	EXPECT_EQ(0U, jj_slots_take_news(slots, JJ_SLOTS_NEAR, loads, 4));
 	EXPECT_EQ(1U, jj_slots_take_news(slots, JJ_SLOTS_FAR, loads, 4))
-	    << "those abroad were not told yet";
+	    << "VMs of other domains have no report yet";
 	jj_slots_remove(jj_slots_find(slots, "s1"), JJ_CLASS_BATCH);
 	EXPECT_EQ(1U, jj_slots_take_news(slots, JJ_SLOTS_FAR, loads, 4));
 	EXPECT_EQ(0U, jj_slots_take_news(slots, JJ_SLOTS_NEAR, loads, 4));
--- a/tests/core/suspicion_test.cc
+++ b/tests/core/suspicion_test.cc
@@ -1,6 +1,6 @@
 /**
  * @file suspicion_test.cc
- * @brief What a VM does while it does not know whether another one lives.
+ * @brief Behaviour of a VM while it does not know whether another VM is alive.
  */
 #include <gtest/gtest.h>
 
@@ -9,7 +9,7 @@
 namespace
 {
 
-/* The defaults of the settings: suspected after 2 s, lost after 3 s. */
+/* Defaults of the settings: suspected after 2 s, lost after 3 s. */
 constexpr jj_ms_t SUSPECT_MS = 2000;
 constexpr jj_ms_t LOST_MS = 3000;
 constexpr jj_ms_t HEARTBEAT_MS = 500;
@@ -26,7 +26,7 @@
 	return "d100/order-" + std::to_string(i);
 }
 
-/** Two VMs of a domain that know each other and each slot's home. */
+/** Two VMs of a domain that know each other and the home of each slot. */
 struct Pair {
 	World world{1, 2};
 	WorldCore &entry = world.at(0, 0);
@@ -49,7 +49,7 @@
 		for (int i = 0; i < keys; i++)
 			world.call(at, first + (uint64_t)i, key(i));
 	}
-	/** A new process in the other VM's place, noticed so long ago, ms. */
+	/** Replaces the other VM by a new process, noticed this many ms ago. */
 	void
 	replace_other(jj_ms_t ago)
 	{
@@ -77,10 +77,10 @@
 
 /*
  * A shop books through one VM while the other one runs the booking. The two
- * do not hear each other for 2.5 s, then do again. The shop was told "outcome
- * unknown" as soon as the other VM was suspected, and never got the
- * confirmation that lay ready a moment later ("request_ended status=502
- * code=outcome_unknown" at the very millisecond of "vm_silent").
+ * receive no messages from each other for 2.5 s, then do again. The shop got
+ * "outcome unknown" as soon as the other VM was suspected, and never the
+ * confirmation that was ready a moment later ("request_ended status=502
+ * code=outcome_unknown" in the same millisecond as "vm_silent").
  */
 TEST(Suspicion, ACallThatRunsAtASuspectIsAnswered)
 {
@@ -100,10 +100,10 @@
 }
 
 /*
- * The same silence, and the shop books while it lasts. The VM that it asks
- * knows no better than that the key's home may live: it refused at once
- * ("503 history_unknown" each 7 ms beside a home that answered its own
- * callers), though the home is back within the booking's time.
+ * The same silence, but the shop books during it. Its VM does not know whether
+ * the key's home is alive: it refused at once ("503 history_unknown" each 7 ms
+ * while the home answered its own callers), though the home was reachable again
+ * within the booking's deadline.
  */
 TEST(Suspicion, ACallForASuspectWaitsUnsent)
 {
@@ -126,9 +126,9 @@
 }
 
 /*
- * The home does not come back. What was never sent to it is refused as such
- * as soon as the home counts as lost, with a time to come back: not "outcome
- * unknown", and not at the end of the booking's time.
+ * The home stays unreachable. A call that was never sent to it is refused as
+ * not run as soon as the home counts as lost, with a Retry-After: not with
+ * "outcome unknown", and not only at the booking's deadline.
  */
 TEST(Suspicion, ACallForALostHomeIsRefusedOnce)
 {
@@ -144,12 +144,12 @@
 }
 
 /*
- * A booking is confirmed and its home is lost, while the platform is away: no
- * VM can take its slots over. The shop asks again at the VM that was the
- * witness, which holds the confirmation and said "history unknown" all the
- * same (410 "answer not kept" was followed by 502 and 503 for one call).
+ * A booking is confirmed and its home is lost while the platform is down, so
+ * that no VM can take over its slots. The shop asks again at the VM that was
+ * the witness, which has the confirmation but answered "history unknown" (410
+ * "answer not kept" was followed by 502 and 503 for one call).
  */
-TEST(Suspicion, WhatThisVmKnowsIsToldWithoutTheHome)
+TEST(Suspicion, AKnownResultIsReturnedWithoutTheHome)
 {
 	Pair pair;
 
@@ -166,30 +166,32 @@
 }
 
 /*
- * A VM was replaced, its neighbour takes all slots over and tells the new
- * process what it knows; that takes a while on a loaded machine. A booking
- * that came meanwhile was refused ("history unknown", 5 ms after another VM
- * had confirmed the same one), though its home could take it a moment later.
+ * A VM was replaced; its neighbour takes over all slots and sends the new
+ * process its records, which takes a while on a loaded machine. A booking that
+ * arrived meanwhile was refused ("history unknown", 5 ms after another VM had
+ * confirmed the same one), though its home could accept it a moment later.
  */
 TEST(Suspicion, ACallAtAHomeThatSettlesWaits)
 {
 	Pair pair;
 
 	pair.world.message_ms = 200;
-	pair.replace_other(300); /* the new table is in force */
+	pair.replace_other(300); /* the new table is active */
 	pair.call_all(pair.entry, 1);
 	pair.run(3000);
-	/* Four slots (about as many keys) move at a time for balance; what
-	 * waits for a witness just then is refused. */
+	/*
+	 * For balance four slots (about as many keys) move at a time; a call
+	 * that waits for a witness at that moment is refused.
+	 */
 	EXPECT_GE(Pair::count(pair.entry, JJ_CALL_DONE), KEYS - 4);
 	pair.expect_no_second_run();
 }
 
 /*
  * The messages that carried calls to their home were lost, and the home hands
- * its slots to this VM and stops. Nobody answers of itself what never came:
- * the earlier home must be asked again, or the callers wait for the 20 s that
- * their bookings have.
+ * its slots over to this VM and stops. The home does not answer calls that it
+ * never received: it must be asked for them, otherwise the callers wait for the
+ * 20 s of their bookings.
  */
 TEST(Suspicion, ACallThatNeverCameIsNotWaitedForWhenItsSlotMovesHere)
 {
@@ -209,26 +211,26 @@
 }
 
 /*
- * A booking that was confirmed is asked for again while its home tells a new
- * witness: what is known is told at once, it needs no witness.
+ * A confirmed booking is requested again while its home sends its records to a
+ * new witness: a known result is returned at once and needs no witness.
  */
-TEST(Suspicion, WhatIsKnownIsToldByAHomeThatSettles)
+TEST(Suspicion, AKnownResultIsReturnedByAHomeThatSettles)
 {
 	Pair pair;
 
 	pair.call_all(pair.entry, 1);
 	pair.run(1000);
 	pair.world.message_ms = 400;
-	pair.replace_other(300); /* the new table is in force */
+	pair.replace_other(300); /* the new table is active */
 	pair.call_all(pair.entry, 1000);
 	pair.run(50);
 	EXPECT_EQ(Pair::count(pair.entry, JJ_CALL_REPLAYED), KEYS);
 }
 
 /*
- * The new witness never answers: what waits for it is refused when it could
- * have been replaced, not at the end of the booking's 20 s, and what comes
- * later is refused at once.
+ * The new witness never answers: calls that wait for it are refused when it
+ * could have been replaced, not after the 20 s of the booking, and later calls
+ * are refused at once.
  */
 TEST(Suspicion, ACallAtAHomeThatDoesNotSettleIsRefused)
 {
@@ -247,11 +249,11 @@
 }
 
 /*
- * Two VMs do not hear each other, and one takes all slots over. The other
- * reads the new table at the platform: its writer lived a moment ago, yet
- * calls for it were refused at once, as it counted as lost.
+ * Two VMs receive no messages from each other, and one takes over all slots.
+ * The other one reads the new table from the platform: its writer was alive a
+ * moment ago, yet calls for it were refused at once, as it counted as lost.
  */
-TEST(Suspicion, AHomeThatANewTableNamesMayBeHeardYet)
+TEST(Suspicion, AHomeThatANewTableNamesIsNotLostYet)
 {
 	Pair pair;
 	WorldCore *late;
@@ -261,7 +263,10 @@
 	pair.call_all(pair.entry, 1);
 	pair.call_all(pair.other, 1000);
 	pair.run(100);
-	/* The one that took over has run all; the other has said nothing. */
+	/*
+	 * The VM that took over has run all calls; the other one has sent
+	 * nothing.
+	 */
 	late = Pair::count(pair.entry, JJ_CALL_DONE) == KEYS ? &pair.other
 							     : &pair.entry;
 	EXPECT_EQ(Pair::count(*late, JJ_CALL_NO_HISTORY), 0);
@@ -272,10 +277,10 @@
 }
 
 /*
- * Both VMs of a domain did not hear each other for 0.6 s right after their
- * start and each told its workers that the other was dead: chunks were
- * claimed that their live holders went on with, 51 streams for 40 items
- * ("vm_lost" at 125.84 and 125.86, "vm_live" 0.1 s later).
+ * The two VMs of a domain received no messages from each other for 0.6 s right
+ * after their start, and each reported the other as lost to its workers: chunks
+ * were claimed that their live holders continued to run, 51 streams for 40
+ * items ("vm_lost" at 125.84 and 125.86, "vm_live" 0.1 s later).
  */
 TEST(Suspicion, ClaimsOfASuspectStayItsOwn)
 {
@@ -296,7 +301,7 @@
 	EXPECT_GE(pair.entry.losses[0], cut_ms + LOST_MS - HEARTBEAT_MS);
 }
 
-/* A VM's process was replaced: that is no suspicion, it is known. */
+/* A VM's process was replaced: its loss is known, not only suspected. */
 TEST(Suspicion, ClaimsOfAReplacedProcessAreFreeAtOnce)
 {
 	Pair pair;
@@ -308,16 +313,16 @@
 
 /*
  * A call of 20 kB for a home behind a slow link was sent each resend_ms until
- * it was answered. Its copies stood in line before the heartbeats ("SEND
- * kind=7 size=20153" each 100 ms, taken at the other end 250 to 600 ms
- * later), and the VMs took each other for silent. A copy each 2 s is what a
- * lost message needs; the first three may come sooner.
+ * it was answered. Its copies were queued before the heartbeats ("SEND kind=7
+ * size=20153" each 100 ms, received at the other end 250 to 600 ms later), so
+ * each VM found the other one silent. One copy each 2 s is enough against lost
+ * messages; the first three may be sent sooner.
  */
 TEST(Suspicion, ACallIsNotSentAtASteadyPace)
 {
 	Pair pair;
 	uint64_t before = pair.world.calls_sent;
-	const int keys = 8; /* as many as run at once */
+	const int keys = 8; /* as many as can run at once */
 	const jj_ms_t waited = 10000;
 	uint64_t forwarded;
 	uint64_t sent;
