--- a/src/core/withheld.c
+++ b/src/core/batch_backlog.c
@@ -5,7 +5,7 @@
 #include <stdlib.h>
 #include <sys/queue.h>
 
-#include "core/withheld.h"
+#include "core/batch_backlog.h"
 
 /**
  * A VM that has just started considers itself the steward of all servers. Items
--- a/src/core/withheld.h
+++ b/src/core/batch_backlog.h
@@ -6,8 +6,8 @@
  * next to the dispatcher, so that short idle capacity is used at once and an
  * item without a free server is not returned to the batch module each time.
  */
-#ifndef JJ_CORE_WITHHELD_H
-#define JJ_CORE_WITHHELD_H
+#ifndef JJ_CORE_BATCH_BACKLOG_H
+#define JJ_CORE_BATCH_BACKLOG_H
 
 #include "core/dispatch.h"
 
--- a/src/core/core.c
+++ b/src/core/core.c
@@ -14,7 +14,7 @@
 #include "core/core_requests.h"
 #include "core/core_state.h"
 #include "core/core_status.h"
-#include "core/struck.h"
+#include "core/crash_history.h"
 
 /** Watches of the speaker, by token of their platform calls. */
 #define TOKEN_WATCH_CONFIG UINT64_C(0xC0)
--- a/src/core/core_news.c
+++ b/src/core/core_news.c
@@ -8,7 +8,7 @@
 
 #include "core/core_news.h"
 #include "core/core_state.h"
-#include "core/struck.h"
+#include "core/crash_history.h"
 
 /** Least time between asks for a configuration, ms. */
 #define CONFIG_ASK_MS 200
--- a/src/core/core_state.h
+++ b/src/core/core_state.h
@@ -9,7 +9,7 @@
 #include "core/core.h"
 #include "core/suspects.h"
 #include "core/watch.h"
-#include "core/withheld.h"
+#include "core/batch_backlog.h"
 
 /** A process seen alive at the last tick. */
 typedef struct {
--- a/src/core/struck.c
+++ b/src/core/crash_history.c
@@ -4,7 +4,7 @@
  */
 #include <string.h>
 
-#include "core/struck.h"
+#include "core/crash_history.h"
 
 /**
  * Maximum number of entries that one VM sends another at once, two messages of
--- a/src/core/struck.h
+++ b/src/core/crash_history.h
@@ -9,8 +9,8 @@
  * other's list. The request is needed because one of the two confirms the
  * other's process last, and only from then on accepts its messages.
  */
-#ifndef JJ_CORE_STRUCK_H
-#define JJ_CORE_STRUCK_H
+#ifndef JJ_CORE_CRASH_HISTORY_H
+#define JJ_CORE_CRASH_HISTORY_H
 
 #include "core/member.h"
 #include "core/quarantine.h"
--- a/src/core/gateway.c
+++ b/src/core/gateway.c
@@ -7,7 +7,7 @@
 #include <string.h>
 
 #include "core/gateway_state.h"
-#include "core/struck.h"
+#include "core/crash_history.h"
 
 /** Tokens of the mirrors' calls. */
 #define TOKEN_CONFIG 1
--- a/src/core/gateway_news.c
+++ b/src/core/gateway_news.c
@@ -7,7 +7,7 @@
 #include <string.h>
 
 #include "core/gateway_state.h"
-#include "core/struck.h"
+#include "core/crash_history.h"
 
 /** Between looks for VMs that fell silent, ms: silence itself takes eight
  * times as long to be noticed. */
