--- a/src/core/dispatch.c
+++ b/src/core/dispatch.c
@@ -329,7 +329,7 @@
 
 uint32_t
 jj_dispatch_shares(const jj_dispatch_t *dispatch, jj_batch_share_t *shares,
-    uint32_t most, jj_ms_t now)
+    uint32_t max_count, jj_ms_t now)
 {
 	const jj_service_queue_t *service;
 	const jj_server_view_t *view;
@@ -347,7 +347,7 @@
 			    view->steward && jj_server_view_is_up(view, now);
 			running += view->batch;
 		}
-		if (!steward || count == most || dispatch->leaving)
+		if (!steward || count == max_count || dispatch->leaving)
 			continue;
 		shares[count].service = service->name;
 		shares[count].limit = running +
--- a/src/core/dispatch.h
+++ b/src/core/dispatch.h
@@ -76,12 +76,13 @@
 	jj_name_t domain;
 	uint64_t seed;
 	double retry_share; /**< retries per first attempt; default 0.1 */
-	uint32_t
-	    retry_floor; /**< retries always allowed per window; default 10 */
-	jj_ms_t
-	    withdraw_retry_ms; /**< Retry-After of batch items that are not accepted or are withdrawn; default 250 */
-	uint32_t
-	    batch_start; /**< initial request limit of a server; default 2 */
+	uint32_t retry_floor; /**< retries always allowed per window; default
+				   10 */
+	jj_ms_t withdraw_retry_ms; /**< Retry-After of batch items that are
+					not accepted or are withdrawn;
+					default 250 */
+	uint32_t batch_start; /**< initial request limit of a server; default
+				   2 */
 	uint32_t batch_most; /**< maximum batch items per server; default 256 */
 } jj_dispatch_settings_t;
 
@@ -149,10 +150,10 @@
     const jj_dispatch_t *dispatch, const jj_name_t *service, jj_ms_t now);
 /**
  * Lists the services of whose servers this VM is steward; returns how many
- * entries were written, at most @p most.
+ * entries were written, at most @p max_count.
  */
 uint32_t jj_dispatch_shares(const jj_dispatch_t *dispatch,
-    jj_batch_share_t *shares, uint32_t most, jj_ms_t now);
+    jj_batch_share_t *shares, uint32_t max_count, jj_ms_t now);
 /** How many more batch items this VM can start at servers of one service. */
 uint32_t jj_dispatch_service_capacity(
     const jj_dispatch_t *dispatch, const jj_name_t *service, jj_ms_t now);
@@ -162,8 +163,8 @@
  * a few seconds. Called once for each round of heartbeats.
  * @return how many entries were written.
  */
-uint32_t
-jj_dispatch_loads(jj_dispatch_t *dispatch, jj_load_t *loads, uint32_t most);
+uint32_t jj_dispatch_loads(
+    jj_dispatch_t *dispatch, jj_load_t *loads, uint32_t max_count);
 /** The hash that identifies a server in messages. */
 uint64_t jj_dispatch_hash_server(const jj_name_t *server);
 /**
--- a/src/core/dispatch_failure.c
+++ b/src/core/dispatch_failure.c
@@ -103,7 +103,7 @@
 uint32_t
 jj_dispatch_gather_suspects(const jj_dispatch_t *dispatch,
     const jj_server_view_t *view, jj_ms_t now, uint64_t *suspects,
-    uint32_t most)
+    uint32_t max_count)
 {
 	const jj_entry_t *entry;
 	uint32_t count = 0;
@@ -114,7 +114,7 @@
 			suspects[count++] = view->broken[i].fingerprint;
 	TAILQ_FOREACH(entry, &dispatch->entries, all_link)
 	{
-		if (count < most && entry->state == JJ_ENTRY_IN_FLIGHT &&
+		if (count < max_count && entry->state == JJ_ENTRY_IN_FLIGHT &&
 		    entry->server == view)
 			suspects[count++] = entry->request.fingerprint;
 	}
@@ -152,16 +152,16 @@
  */
 static size_t
 list_crash_recipients(
-    const jj_dispatch_t *dispatch, jj_member_info_t *infos, size_t most)
+    const jj_dispatch_t *dispatch, jj_member_info_t *infos, size_t max_count)
 {
 	size_t count;
 	size_t kept = 0;
 	size_t i;
 
 	if (!jj_member_is_speaker(dispatch->member))
-		return jj_member_list(
-		    dispatch->member, &dispatch->settings.domain, infos, most);
-	count = jj_member_list_all(dispatch->member, infos, most);
+		return jj_member_list(dispatch->member,
+		    &dispatch->settings.domain, infos, max_count);
+	count = jj_member_list_all(dispatch->member, infos, max_count);
 	for (i = 0; i < count; i++) {
 		if (infos[i].live)
 			infos[kept++] = infos[i];
--- a/src/core/dispatch_headroom.c
+++ b/src/core/dispatch_headroom.c
@@ -113,7 +113,7 @@
 jj_headroom_note_report(jj_headroom_t *headroom, uint32_t running,
     uint32_t waiting, jj_ms_t taken_ms)
 {
-	uint32_t most = 0;
+	uint32_t max_running = 0;
 	uint32_t i;
 
 	/*
@@ -134,21 +134,21 @@
 	    running;
 	headroom->queue_reports++;
 	for (i = 0; i < JJ_QUEUE_REPORTS; i++) {
-		if (most < headroom->queue_running[i])
-			most = headroom->queue_running[i];
+		if (max_running < headroom->queue_running[i])
+			max_running = headroom->queue_running[i];
 	}
 	/*
 	 * A limit of 0 could never rise again: without a stream no gap is
 	 * measured.
 	 */
-	if (headroom->queue_reports < JJ_QUEUE_REPORTS || most == 0)
+	if (headroom->queue_reports < JJ_QUEUE_REPORTS || max_running == 0)
 		return;
 	headroom->starting = false;
-	if (headroom->limit <= most)
+	if (headroom->limit <= max_running)
 		return;
-	headroom->limit = most;
+	headroom->limit = max_running;
 	headroom->bound = JJ_BOUND_REPORT;
-	headroom->bound_running = most;
+	headroom->bound_running = max_running;
 }
 
 uint32_t
@@ -170,14 +170,14 @@
 uint32_t
 jj_headroom_excess(const jj_headroom_t *headroom, const jj_headroom_use_t *use)
 {
-	double most = effective_limit(headroom, use);
+	double limit = effective_limit(headroom, use);
 	double slack = interpolate(SLACK_MIN, SLACK_MAX, use->trade);
 	double excess;
 
 	/* Online requests alone fill the server, so no excess is tolerated. */
-	if (use->online >= most)
+	if (use->online >= limit)
 		slack = 0;
-	excess = use->online + use->batch - most - slack;
+	excess = use->online + use->batch - limit - slack;
 
 	/*
 	 * Without online requests nobody is slowed down: let the batch items
@@ -213,7 +213,7 @@
 	uint32_t i;
 	double sum = 0;
 	uint32_t middle;
-	double most;
+	double max_gap;
 
 	if (count > JJ_HEADROOM_SAMPLES)
 		count = JJ_HEADROOM_SAMPLES;
@@ -221,9 +221,9 @@
 		sorted[i] = headroom->samples[i];
 	qsort(sorted, count, sizeof(sorted[0]), compare_samples);
 	middle = count / 2;
-	most = sorted[middle] * OUTLIER_FACTOR;
+	max_gap = sorted[middle] * OUTLIER_FACTOR;
 	for (i = 0; i < count; i++) {
-		if (sorted[i] > most)
+		if (sorted[i] > max_gap)
 			break;
 		sum += sorted[i];
 		used++;
@@ -336,9 +336,9 @@
 }
 
 static double
-interpolate(double least, double most, double share)
+interpolate(double min, double max, double share)
 {
-	return least + (most - least) * share;
+	return min + (max - min) * share;
 }
 
 /*
@@ -349,9 +349,9 @@
 effective_limit(const jj_headroom_t *headroom, const jj_headroom_use_t *use)
 {
 	uint32_t spare = use->slots / SLOTS_FREE_SHARE;
-	double most = use->slots - spare;
+	double max_limit = use->slots - spare;
 
-	if (use->slots > 0 && headroom->limit > most)
-		return most;
+	if (use->slots > 0 && headroom->limit > max_limit)
+		return max_limit;
 	return headroom->limit;
 }
--- a/src/core/dispatch_headroom.h
+++ b/src/core/dispatch_headroom.h
@@ -29,8 +29,8 @@
 typedef struct {
 	double limit; /**< requests with which the gap stays within its bound */
 	jj_bound_t bound;
-	uint32_t
-	    bound_running; /**< requests that ran when the limit was lowered */
+	uint32_t bound_running; /**< requests that ran when the limit was
+				     lowered */
 	double base_gap_us; /**< gap of a lightly loaded server; 0: none */
 	double gap_us; /**< latest measurement; 0: none */
 	bool starting; /**< the limit was never lowered: it grows fast */
@@ -38,12 +38,12 @@
 	uint32_t samples[JJ_HEADROOM_SAMPLES]; /**< microseconds */
 	jj_ms_t next_adjust_ms; /**< time of the next adjustment */
 	jj_ms_t next_batch_ms; /**< no batch item starts before this time */
-	jj_ms_t
-	    crowded_since_ms; /**< gaps are longer than batch can explain since; 0: they are not */
-	uint32_t
-	    queue_reports; /**< consecutive reports that show waiting requests */
-	jj_ms_t
-	    queue_report_ms; /**< snapshot time of the last of these reports */
+	jj_ms_t crowded_since_ms; /**< gaps are longer than batch can explain
+				       since; 0: they are not */
+	uint32_t queue_reports; /**< consecutive reports that show waiting
+				     requests */
+	jj_ms_t queue_report_ms; /**< snapshot time of the last of these
+				      reports */
 	uint32_t queue_running
 	    [JJ_QUEUE_REPORTS]; /**< running requests in the last of these reports */
 	double prefill_ms; /**< measured prefill time of a batch item */
@@ -53,10 +53,10 @@
 typedef struct {
 	uint32_t online;
 	uint32_t batch;
-	uint32_t
-	    slots; /**< maximum requests the server runs at once; 0: not known */
-	double
-	    trade; /**< weight of batch throughput (1) against online latency (0) */
+	uint32_t slots; /**< maximum requests the server runs at once; 0: not
+			     known */
+	double trade; /**< weight of batch throughput (1) against online
+			   latency (0) */
 	uint32_t batch_max;
 } jj_headroom_use_t;
 
--- a/src/core/dispatch_queue.h
+++ b/src/core/dispatch_queue.h
@@ -50,8 +50,8 @@
 	double virtual_time;
 	jj_retry_budget_t budget;
 	jj_window_t finished; /**< online requests that completed */
-	jj_ms_t
-	    busy_since_ms; /**< the queue is not empty since; 0: it is empty */
+	jj_ms_t busy_since_ms; /**< the queue is not empty since; 0: it is
+				    empty */
 	double fast_answer_ms; /**< duration of a fast request; 0: none seen */
 	double mean_ms; /**< mean duration of a request; 0: none seen */
 } jj_service_queue_t;
@@ -69,12 +69,12 @@
 	jj_server_view_t *server; /**< while in flight */
 	jj_name_t avoid; /**< server of the last failed attempt */
 	uint32_t attempt; /**< number of the newest attempt, from 1 */
-	uint32_t
-	    failures; /**< failed attempts, without those that a leaving server or a refused connection ended */
+	uint32_t failures; /**< failed attempts, without those that a leaving
+				server or a refused connection ended */
 	uint32_t breaks; /**< attempts whose connection broke */
 	jj_ms_t deferred_until_ms; /**< not sent before this time */
-	bool
-	    awaits_probe; /**< deferred until a probe shows the state of the server `avoid` */
+	bool awaits_probe; /**< deferred until a probe shows the state of the
+				server `avoid` */
 	jj_ms_t queued_ms; /**< time when it was last queued */
 	bool suspect; /**< may crash servers */
 	bool may_have_run;
--- a/src/core/dispatch_reports.c
+++ b/src/core/dispatch_reports.c
@@ -32,7 +32,7 @@
 #define HEARTBEAT_LOADS 8
 /* Default for a value that the configuration does not set. */
 #define DEFAULT_SLOTS 32
-/* Loads that a neighbour that has just joined assumes. */
+/* A neighbour that has just joined assumes a load of 0. */
 #define NOTHING_REPORTED 0
 
 static void report_to_all(jj_dispatch_t *, jj_actions_t *);
@@ -120,7 +120,7 @@
 }
 
 uint32_t
-jj_dispatch_loads(jj_dispatch_t *dispatch, jj_load_t *loads, uint32_t most)
+jj_dispatch_loads(jj_dispatch_t *dispatch, jj_load_t *loads, uint32_t max_count)
 {
 	jj_service_queue_t *service;
 	jj_server_view_t *view;
@@ -128,15 +128,15 @@
 	uint32_t index = 0;
 	uint32_t count = 0;
 
-	if (most > HEARTBEAT_LOADS)
-		most = HEARTBEAT_LOADS;
+	if (max_count > HEARTBEAT_LOADS)
+		max_count = HEARTBEAT_LOADS;
 	TAILQ_FOREACH(service, &dispatch->services, link)
 	{
 		TAILQ_FOREACH(view, &service->servers, link)
 		{
 			if (!view->local)
 				break;
-			if (index++ < first || count == most)
+			if (index++ < first || count == max_count)
 				continue;
 			loads[count++] = jj_dispatch_load_of(view);
 			mark_reported(view);
--- a/src/core/dispatch_server.h
+++ b/src/core/dispatch_server.h
@@ -58,23 +58,23 @@
 	uint32_t others_online; /**< of live neighbours, as last reported */
 	uint32_t others_batch;
 	uint32_t others_suspects;
-	uint32_t
-	    steward_reported_online; /**< `online` as last reported to the steward */
-	uint32_t
-	    reported_online; /**< counts as last reported to all neighbours */
+	uint32_t steward_reported_online; /**< `online` as last reported to
+					       the steward */
+	uint32_t reported_online; /**< counts as last reported to all
+				       neighbours */
 	uint32_t reported_batch;
 	uint32_t reported_suspects;
 	size_t neighbour_count;
 	jj_neighbour_load_t *neighbours;
 	double failures; /**< failure rate of recent attempts, 0 to 1 */
-	jj_ms_t
-	    cooldown_until_ms; /**< cool-down: no new requests before this time */
+	jj_ms_t cooldown_until_ms; /**< cool-down: no new requests before
+					this time */
 	jj_headroom_t headroom;
 	uint32_t logged_limit; /**< integer part of the limit, as last logged */
 	jj_ms_t limit_logged_ms; /**< time of that log entry */
 	uint64_t *prefixes; /**< indexed by hash; NULL until first used */
-	jj_broken_t *
-	    broken; /**< ring of JJ_BROKEN_MAX entries; NULL until first used */
+	jj_broken_t *broken; /**< ring of JJ_BROKEN_MAX entries; NULL until
+				  first used */
 	uint32_t broken_count;
 	bool probe_awaited; /**< a request waits for the result of a probe */
 } jj_server_view_t;
@@ -85,18 +85,18 @@
 typedef struct {
 	const jj_request_t *request;
 	bool suspect; /**< must not share a server with another suspect */
-	uint32_t
-	    round; /**< suspects only: number of rounds that it has waited */
+	uint32_t round; /**< suspects only: number of rounds that it has
+			     waited */
 	const jj_name_t *self; /**< suspects only: name of this VM */
-	const jj_member_info_t
-	    *vms; /**< suspects only: live VMs of the domain */
+	const jj_member_info_t *vms; /**< suspects only: live VMs of the
+					  domain */
 	size_t vm_count;
 	uint32_t online_max; /**< maximum online requests per server */
-	uint32_t
-	    online_share; /**< this VM's share of them, whatever others run */
+	uint32_t online_share; /**< this VM's share of them, whatever others
+				    run */
 	uint64_t salt; /**< differs by request; varies equal scores */
-	const jj_name_t *
-	    avoid; /**< server of the last failed attempt, used as a last resort */
+	const jj_name_t *avoid; /**< server of the last failed attempt, used
+				     as a last resort */
 } jj_server_need_t;
 
 jj_server_view_t *jj_server_view_create(const jj_server_t *server);
--- a/src/core/dispatch_state.h
+++ b/src/core/dispatch_state.h
@@ -33,26 +33,26 @@
 	uint64_t random;
 	bool leaving;
 	bool loads_reported; /**< no load change waits to be reported */
-	uint32_t
-	    next_heartbeat_load; /**< index of the server that the next heartbeat's loads start with */
+	uint32_t next_heartbeat_load; /**< index of the server that the next
+					   heartbeat's loads start with */
 	jj_ms_t next_ms;
 	jj_ms_t refresh_ms;
 	uint64_t config_version; /**< of the last refresh */
 	uint64_t fleet_version; /**< fleet version that the views reflect */
-	uint64_t
-	    vms_hash; /**< hash of the names of the VMs that the views reflect */
-	bool
-	    views_stale; /**< must be refreshed, though neither version nor hash changed */
-	bool
-	    has_unlisted_views; /**< views of servers that left the fleet may exist */
-	jj_ms_t
-	    full_refresh_ms; /**< time of the next unconditional refresh of the views */
-	jj_ms_t
-	    remote_adjust_ms; /**< next headroom adjustment of servers of other domains */
+	uint64_t vms_hash; /**< hash of the names of the VMs that the views
+				reflect */
+	bool views_stale; /**< must be refreshed, though neither version nor
+			       hash changed */
+	bool has_unlisted_views; /**< views of servers that left the fleet
+				      may exist */
+	jj_ms_t full_refresh_ms; /**< time of the next unconditional refresh
+				      of the views */
+	jj_ms_t remote_adjust_ms; /**< next headroom adjustment of servers of
+				       other domains */
 	int64_t live_vms; /**< live VMs of the domain, at least 1 */
 	jj_ms_t load_report_ms;
-	jj_ms_t
-	    steward_report_ms; /**< time of the last load report to a steward alone */
+	jj_ms_t steward_report_ms; /**< time of the last load report to a
+					steward alone */
 };
 
 /** The queued or in-flight request with this number, or NULL. */
@@ -129,7 +129,7 @@
  */
 uint32_t jj_dispatch_gather_suspects(const jj_dispatch_t *dispatch,
     const jj_server_view_t *view, jj_ms_t now, uint64_t *suspects,
-    uint32_t most);
+    uint32_t max_count);
 /**
  * Records the state of a server and notifies the neighbours when it changed.
  */
--- a/src/core/quarantine.c
+++ b/src/core/quarantine.c
@@ -120,14 +120,14 @@
 
 size_t
 jj_quarantine_list(const jj_quarantine_t *quarantine, jj_ms_t now,
-    jj_struck_t *entries, size_t most)
+    jj_struck_t *entries, size_t max_count)
 {
-	size_t count =
-	    list_queue(quarantine, &quarantine->refused, now, entries, most);
+	size_t count = list_queue(
+	    quarantine, &quarantine->refused, now, entries, max_count);
 
 	return count +
 	    list_queue(quarantine, &quarantine->suspects, now, entries + count,
-		most - count);
+		max_count - count);
 }
 
 bool
@@ -325,14 +325,14 @@
 
 static size_t
 list_queue(const jj_quarantine_t *quarantine, const struct suspect_queue *queue,
-    jj_ms_t now, jj_struck_t *entries, size_t most)
+    jj_ms_t now, jj_struck_t *entries, size_t max_count)
 {
 	const suspect_t *suspect;
 	size_t count = 0;
 
 	TAILQ_FOREACH_REVERSE(suspect, queue, suspect_queue, queue)
 	{
-		if (count == most)
+		if (count == max_count)
 			break;
 		if (!is_expired(quarantine, suspect, now))
 			entries[count++] = describe(suspect, now);
--- a/src/core/quarantine.h
+++ b/src/core/quarantine.h
@@ -45,10 +45,10 @@
 /**
  * Lists requests that have crashed servers, refused ones first and each group
  * from the newest.
- * @return how many were written, at most @p most.
+ * @return how many were written, at most @p max_count.
  */
 size_t jj_quarantine_list(const jj_quarantine_t *quarantine, jj_ms_t now,
-    jj_struck_t *entries, size_t most);
+    jj_struck_t *entries, size_t max_count);
 /**
  * Takes a neighbour's list of requests that have crashed servers, including
  * crashes from before this VM started or received messages. A crash that is
--- a/src/core/retry.h
+++ b/src/core/retry.h
@@ -11,8 +11,8 @@
 /** The limits of one call's retries. */
 typedef struct {
 	uint32_t tries; /**< calls in all, the first one included */
-	jj_ms_t
-	    first_ms; /**< wait before the first retry; doubles with each one */
+	jj_ms_t first_ms; /**< wait before the first retry; doubles with each
+			       one */
 } jj_retry_limits_t;
 
 /** One call's retries; zeroed at the call's start. */
--- a/src/core/slots.h
+++ b/src/core/slots.h
@@ -70,8 +70,8 @@
 	uint64_t hash; /**< hash of its id and its start time */
 	bool local; /**< in this VM's failure domain */
 	bool listed; /**< the platform's list contains it */
-	jj_ms_t
-	    unlisted_ms; /**< when not listed: no new requests from this time */
+	jj_ms_t unlisted_ms; /**< when not listed: no new requests from this
+				  time */
 	/**
 	 * If its entry expired in a platform outage, it can be listed again
 	 * until this time.
@@ -79,27 +79,27 @@
 	jj_ms_t relist_until_ms;
 	bool replaced; /**< a process with a later start has its id */
 	jj_ms_t replaced_ms; /**< when that was found */
-	bool
-	    has_old_start; /**< its entry has an earlier start, see old_start_info */
+	bool has_old_start; /**< its entry has an earlier start, see
+				 old_start_info */
 	jj_ms_t old_start_ms; /**< time when that was first seen */
 	jj_slot_info_t old_start_info; /**< contents of that entry */
 	uint32_t online; /**< requests of this VM in flight */
 	uint32_t batch; /**< batch items of this VM in flight */
 	uint32_t others_online; /**< of the neighbours, as last reported */
 	uint32_t others_batch;
-	jj_slot_reported_t
-	    reported[2]; /**< counts last reported to the VMs of each scope */
+	jj_slot_reported_t reported[2]; /**< counts last reported to the VMs
+					     of each scope */
 	size_t neighbour_count;
 	jj_slot_neighbour_t *neighbours; /**< owned */
 	uint32_t failures; /**< consecutive failures */
 	jj_ms_t answered_ms; /**< time of the last first event or answer */
-	jj_ms_t
-	    rest_until_ms; /**< cool-down: no new requests before this time */
-	jj_ms_t
-	    crowded_until_ms; /**< no batch items before: it is fuller than reported */
+	jj_ms_t rest_until_ms; /**< cool-down: no new requests before this
+				    time */
+	jj_ms_t crowded_until_ms; /**< no batch items before: it is fuller
+				       than reported */
 	double first_ms; /**< mean wait for a first event; 0: none seen */
-	double
-	    service_ms; /**< mean service time of an online request there; 0: unknown */
+	double service_ms; /**< mean service time of an online request there;
+				0: unknown */
 	double open_connects; /**< connections opened, not answered yet */
 } jj_slot_server_t;
 
@@ -107,8 +107,8 @@
 	jj_name_t name; /**< this VM */
 	jj_name_t domain;
 	uint32_t reserve; /**< slots per server that batch leaves free */
-	uint32_t
-	    queue_most; /**< maximum online requests that wait at a server */
+	uint32_t queue_most; /**< maximum online requests that wait at a
+				  server */
 	uint64_t seed;
 } jj_slots_settings_t;
 
@@ -121,7 +121,7 @@
 typedef enum {
 	JJ_SLOTS_KNOWN, /**< the known process; its data was updated */
 	JJ_SLOTS_NEW,
-	JJ_SLOTS_STARTED_AGAIN, /**< a later start under a known id: it restarted */
+	JJ_SLOTS_STARTED_AGAIN, /**< a later start under a known id */
 	/**
 	 * An earlier start than the known one: a late write of a process that
 	 * is gone, or the entry of another writer. The server must not be used.
@@ -204,7 +204,7 @@
 bool jj_slot_server_is_up(const jj_slot_server_t *server, jj_ms_t now);
 /** Slots of a service's servers that are up, and how many are taken. */
 void jj_slots_sum(const jj_slots_t *slots, const jj_name_t *service,
-    jj_ms_t now, uint32_t *places, uint32_t *taken);
+    jj_ms_t now, uint32_t *total, uint32_t *taken);
 
 /** Counts a request that is sent there, and removes it when it ends. */
 void jj_slots_add(jj_slot_server_t *server, jj_class_t class_of);
@@ -241,14 +241,14 @@
  * Loads of this VM that changed since the last report to this scope; marks them
  * as reported.
  */
-uint32_t jj_slots_take_news(
-    jj_slots_t *slots, jj_slots_scope_t scope, jj_load_t *loads, uint32_t most);
+uint32_t jj_slots_take_news(jj_slots_t *slots, jj_slots_scope_t scope,
+    jj_load_t *loads, uint32_t max_count);
 /**
  * All loads of this VM, for a heartbeat.
- * @return how many there are; the first @p most of them are filled in.
+ * @return how many there are; the first @p max_count of them are filled in.
  */
-uint32_t
-jj_slots_list_loads(const jj_slots_t *slots, jj_load_t *loads, uint32_t most);
+uint32_t jj_slots_list_loads(
+    const jj_slots_t *slots, jj_load_t *loads, uint32_t max_count);
 /**
  * Chooses the neighbour with most batch items there, to be asked to cancel one,
  * and counts one item less for it; NULL when no neighbour has any.
--- a/src/core/slots_choose.c
+++ b/src/core/slots_choose.c
@@ -103,7 +103,7 @@
 
 	TAILQ_FOREACH(server, &slots->servers, link)
 	{
-		double free_places;
+		double free_slots;
 
 		if (!is_candidate(server, service, avoid, now) ||
 		    !(all || is_assigned(slots, server)) ||
@@ -111,15 +111,15 @@
 		    now < server->crowded_until_ms ||
 		    !has_free_slot(slots, server))
 			continue;
-		free_places =
+		free_slots =
 		    (double)(server->info.slots - jj_slot_server_taken(server));
 		if (!server->local)
-			free_places /= 2;
-		free_places /= slowness(server, best_ms);
-		if (free_places <= best_free)
+			free_slots /= 2;
+		free_slots /= slowness(server, best_ms);
+		if (free_slots <= best_free)
 			continue;
 		best = server;
-		best_free = free_places;
+		best_free = free_slots;
 	}
 	return best;
 }
@@ -138,17 +138,17 @@
 
 void
 jj_slots_sum(const jj_slots_t *slots, const jj_name_t *service, jj_ms_t now,
-    uint32_t *places, uint32_t *taken)
+    uint32_t *total, uint32_t *taken)
 {
 	const jj_slot_server_t *server;
 
-	*places = 0;
+	*total = 0;
 	*taken = 0;
 	TAILQ_FOREACH(server, &slots->servers, link)
 	{
 		if (!is_candidate(server, service, NULL, now))
 			continue;
-		*places += server->info.slots;
+		*total += server->info.slots;
 		*taken += jj_slot_server_taken(server);
 	}
 }
--- a/src/core/slots_loads.c
+++ b/src/core/slots_loads.c
@@ -38,8 +38,8 @@
 }
 
 uint32_t
-jj_slots_take_news(
-    jj_slots_t *slots, jj_slots_scope_t scope, jj_load_t *loads, uint32_t most)
+jj_slots_take_news(jj_slots_t *slots, jj_slots_scope_t scope, jj_load_t *loads,
+    uint32_t max_count)
 {
 	jj_slot_server_t *server;
 	uint32_t count = 0;
@@ -48,7 +48,7 @@
 	{
 		jj_slot_reported_t *reported = &server->reported[scope];
 
-		if (count == most)
+		if (count == max_count)
 			break;
 		if (server->online == reported->online &&
 		    server->batch == reported->batch)
@@ -63,7 +63,8 @@
 }
 
 uint32_t
-jj_slots_list_loads(const jj_slots_t *slots, jj_load_t *loads, uint32_t most)
+jj_slots_list_loads(
+    const jj_slots_t *slots, jj_load_t *loads, uint32_t max_count)
 {
 	const jj_slot_server_t *server;
 	uint32_t count = 0;
@@ -72,7 +73,7 @@
 	{
 		if (server->online + server->batch == 0)
 			continue;
-		if (count < most)
+		if (count < max_count)
 			loads[count] = load_of(server);
 		count++;
 	}
@@ -82,18 +83,19 @@
 const jj_name_t *
 jj_slots_ask_to_yield(jj_slot_server_t *server)
 {
-	jj_slot_neighbour_t *most = NULL;
+	jj_slot_neighbour_t *busiest = NULL;
 	size_t i;
 
 	for (i = 0; i < server->neighbour_count; i++)
 		if (server->neighbours[i].batch > 0 &&
-		    (most == NULL || server->neighbours[i].batch > most->batch))
-			most = &server->neighbours[i];
-	if (most == NULL)
+		    (busiest == NULL ||
+			server->neighbours[i].batch > busiest->batch))
+			busiest = &server->neighbours[i];
+	if (busiest == NULL)
 		return NULL;
-	most->batch--;
+	busiest->batch--;
 	server->others_batch--;
-	return &most->vm;
+	return &busiest->vm;
 }
 
 static void
--- a/src/core/watch.h
+++ b/src/core/watch.h
@@ -17,8 +17,8 @@
 	uint64_t token; /**< token of its calls */
 	char prefix[64];
 	jj_ms_t wait_ms; /**< how long the platform may hold a poll open */
-	jj_ms_t
-	    spacing_ms; /**< minimum time between polls: limits the calls that a busy prefix causes */
+	jj_ms_t spacing_ms; /**< minimum time between polls: limits the calls
+				 that a busy prefix causes */
 	jj_ms_t backoff_ms; /**< wait after a failure */
 } jj_watch_settings_t;
 
--- a/tests/core/dispatch_test.cc
+++ b/tests/core/dispatch_test.cc
@@ -1587,12 +1587,12 @@
 	struct Run {
 		uint64_t request;
 		int tokens;
-		int sent_loads;
-		jj_ms_t load_report_ms;
+		int reported_tokens;
+		jj_ms_t reported_ms;
 	};
 
-	// Time until `items` items are done; the first report is sent after @p
-	// first.
+	// Time until `items` items are done; the first report comes `first` ms
+	// after the start.
 	jj_ms_t
 	RunItems(uint64_t items, size_t slots, jj_ms_t first, jj_ms_t most)
 	{
@@ -1635,16 +1635,16 @@
 		for (auto run = running.begin(); run != running.end();) {
 			if (++run->tokens == 1) {
 				Event(run->request, 1, JJ_BACKEND_FIRST);
-				run->sent_loads = 1;
-				run->load_report_ms = now;
+				run->reported_tokens = 1;
+				run->reported_ms = now;
 			}
 			if (run->tokens < TOKENS) {
-				if (now >= run->load_report_ms + TOKENS_MS)
-					Tell(*run);
+				if (now >= run->reported_ms + TOKENS_MS)
+					ReportTokens(*run);
 				run++;
 				continue;
 			}
-			Tell(*run);
+			ReportTokens(*run);
 			Event(run->request, 1, JJ_BACKEND_DONE);
 			run = running.erase(run);
 			done++;
@@ -1652,12 +1652,12 @@
 	}
 
 	void
-	Tell(Run &run)
+	ReportTokens(Run &run)
 	{
 		Event(run.request, 1, JJ_BACKEND_TOKENS, false,
-		    run.tokens - run.sent_loads);
-		run.sent_loads = run.tokens;
-		run.load_report_ms = now;
+		    run.tokens - run.reported_tokens);
+		run.reported_tokens = run.tokens;
+		run.reported_ms = now;
 	}
 
 	void
@@ -1680,8 +1680,7 @@
 
 	uint64_t done = 0;
 	uint64_t sent_items = 0;
-	size_t settled_max =
-	    0; // maximum at the server after the limit has settled
+	size_t settled_max = 0; // at the server, with a settled limit
 	std::vector<uint64_t> waiting;
 	std::vector<Run> running;
 };
