--- a/src/core/slots_loads.c
+++ b/src/core/slots_loads.c
@@ -1,6 +1,6 @@
 /**
  * @file slots_loads.c
- * @brief What VMs tell each other of the places that they take.
+ * @brief Exchange of request counts between VMs.
  */
 #include "core/slots_state.h"
 
@@ -38,32 +38,33 @@
 }
 
 uint32_t
-jj_slots_take_news(
-    jj_slots_t *slots, jj_slots_scope_t scope, jj_load_t *loads, uint32_t most)
+jj_slots_take_news(jj_slots_t *slots, jj_slots_scope_t scope, jj_load_t *loads,
+    uint32_t max_count)
 {
 	jj_slot_server_t *server;
 	uint32_t count = 0;
 
 	TAILQ_FOREACH(server, &slots->servers, link)
 	{
-		jj_slot_told_t *told = &server->told[scope];
+		jj_slot_reported_t *reported = &server->reported[scope];
 
-		if (count == most)
+		if (count == max_count)
 			break;
-		if (server->online == told->online &&
-		    server->batch == told->batch)
+		if (server->online == reported->online &&
+		    server->batch == reported->batch)
 			continue;
 		loads[count++] = load_of(server);
-		told->online = server->online;
-		told->batch = server->batch;
-		/* What goes to all goes to those nearby as well. */
-		server->told[JJ_SLOTS_NEAR] = *told;
+		reported->online = server->online;
+		reported->batch = server->batch;
+		/* A report to all VMs includes those of this domain. */
+		server->reported[JJ_SLOTS_NEAR] = *reported;
 	}
 	return count;
 }
 
 uint32_t
-jj_slots_list_loads(const jj_slots_t *slots, jj_load_t *loads, uint32_t most)
+jj_slots_list_loads(
+    const jj_slots_t *slots, jj_load_t *loads, uint32_t max_count)
 {
 	const jj_slot_server_t *server;
 	uint32_t count = 0;
@@ -72,7 +73,7 @@
 	{
 		if (server->online + server->batch == 0)
 			continue;
-		if (count < most)
+		if (count < max_count)
 			loads[count] = load_of(server);
 		count++;
 	}
@@ -82,18 +83,19 @@
 const jj_name_t *
 jj_slots_ask_to_yield(jj_slot_server_t *server)
 {
-	jj_slot_neighbour_t *most = NULL;
+	jj_slot_neighbour_t *busiest = NULL;
 	size_t i;
 
 	for (i = 0; i < server->neighbour_count; i++)
 		if (server->neighbours[i].batch > 0 &&
-		    (most == NULL || server->neighbours[i].batch > most->batch))
-			most = &server->neighbours[i];
-	if (most == NULL)
+		    (busiest == NULL ||
+			server->neighbours[i].batch > busiest->batch))
+			busiest = &server->neighbours[i];
+	if (busiest == NULL)
 		return NULL;
-	most->batch--;
+	busiest->batch--;
 	server->others_batch--;
-	return &most->vm;
+	return &busiest->vm;
 }
 
 static void
