--- a/src/core/fleet.c
+++ b/src/core/fleet.c
@@ -1,6 +1,6 @@
 /**
  * @file fleet.c
- * @brief Backend servers, judged by their own signs before any list.
+ * @brief State of backend servers; own observations take priority over lists.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -10,46 +10,51 @@
 
 #include "core/fleet.h"
 
-/** Slots of the index by name; a power of two, at most half full. */
+/** Slots of the index by name; a power of two, at most half of them used. */
 #define INDEX_SIZE (2 * JJ_SERVERS_MAX)
-/** Lists in a row that must lack a server. */
+/** A server counts as missing after this many lists in a row without it, */
 #define MISSING_LISTS 3
-/** And for how long, as lists may come in a burst. */
+/** and not before this time, as lists may come in a burst, ms. */
 #define MISSING_MS 5000
-/** An own sign of life is worth more than other words for so long. */
-#define SIGN_FRESH_MS 3000
-/** A server missing from the lists is forgotten after this. */
+/**
+ * For so long an own observation that a server is up overrides other sources,
+ * ms.
+ */
+#define OBSERVATION_FRESH_MS 3000
+/** A server that is missing from the lists is dropped after this time, ms. */
 #define FORGET_MS 3600000
-/** A leaving server that stays up is tried again after this long. */
-#define LEAVING_HOLD_MS 60000
-/** First and longest wait between probes of a server that is down. */
-#define DOWN_FIRST_MS 500
-#define DOWN_MOST_MS 30000
+/** A leaving server that still answers is used again after this time, ms. */
+#define LEAVING_RETRY_MS 60000
+/** First and longest interval between probes of a server that is down, ms. */
+#define DOWN_BACKOFF_FIRST_MS 500
+#define DOWN_BACKOFF_MAX_MS 30000
 
-/** What only this module needs of a server. */
+/** Private state of a server. */
 typedef struct {
-	jj_server_t *server; /**< in the fleet's array, at the same place */
-	bool from_settings; /**< never forgotten */
-	bool listed; /**< was on a list since it was last missing */
-	uint32_t missed; /**< lists in a row without it */
-	jj_ms_t missed_ms; /**< the first of them */
-	jj_ms_t up_ms; /**< last own sign of life, JJ_MS_NEVER: none */
-	jj_ms_t leaving_ms; /**< last sign that it leaves, JJ_MS_NEVER: none */
-	jj_ms_t down_wait_ms;
-	bool down_seen; /**< seen down by this VM itself */
-	bool on_list; /**< scratch while a list is taken */
+	jj_server_t *server; /**< in the fleet's array, at the same index */
+	bool from_settings; /**< from the settings: never dropped */
+	bool listed; /**< was on a list since it was last taken as missing */
+	uint32_t missed_lists; /**< lists in a row without it */
+	jj_ms_t missing_since_ms; /**< time of the first of them */
+	/** last own observation that it is up, JJ_MS_NEVER: none */
+	jj_ms_t last_up_ms;
+	/** last notice that it is leaving, JJ_MS_NEVER: none */
+	jj_ms_t last_leaving_ms;
+	jj_ms_t down_backoff_ms;
+	bool seen_down; /**< observed as down by this VM itself */
+	bool on_list; /**< used only while a list is read */
 } entry_t;
 
 struct jj_fleet {
 	jj_name_t own_domain;
-	uint64_t version; /**< counts what changes where work may go */
+	uint64_t version; /**< counts changes of where work may be sent */
 	size_t count;
 	jj_server_t *servers;
 	entry_t *entries;
 	uint16_t index[INDEX_SIZE]; /**< entry number + 1, 0: free */
 };
 
-/** One line of the platform's list. */
+/** One entry of the platform's list. */
 typedef struct {
 	jj_name_t name;
 	jj_name_t domain;
@@ -74,7 +79,7 @@
 static void set_down(entry_t *, jj_ms_t);
 static void set_leaving(entry_t *, jj_ms_t);
 static bool note_up(entry_t *, uint64_t, jj_ms_t);
-static bool is_up_sign_fresh(const entry_t *, jj_ms_t);
+static bool is_up_observation_fresh(const entry_t *, jj_ms_t);
 static const char *state_name(jj_server_state_t);
 
 jj_fleet_t *
@@ -137,9 +142,11 @@
 		else if (on_vm != NULL && !line.leaving)
 			on_vm(ctx, &line.name, &line.domain, line.address);
 	}
-	/* The list's own service may be out, or answer with an empty or a
-	 * partial list: a mass death on the list while servers answer. Such
-	 * a list is no evidence against any server. */
+	/*
+	 * The list service may be out of order and return an empty or partial
+	 * list, as if most servers had failed at once while they still answer.
+	 * Such a list is ignored.
+	 */
 	if (is_plausible(fleet)) {
 		count_missing(fleet, now, out);
 		forget_missing(fleet, now);
@@ -152,13 +159,13 @@
 void
 jj_fleet_note(jj_fleet_t *fleet, const jj_name_t *server,
     jj_server_state_t state, uint64_t boot, jj_ms_t now, jj_actions_t *out,
-    bool *is_news)
+    bool *is_changed)
 {
 	entry_t *entry = find_entry(fleet, server);
 	jj_server_state_t before;
 	bool restarted = false;
 
-	*is_news = false;
+	*is_changed = false;
 	if (entry == NULL)
 		return;
 	before = entry->server->state;
@@ -173,13 +180,13 @@
 		break;
 	case JJ_SERVER_DOWN:
 		set_down(entry, now);
-		entry->up_ms = JJ_MS_NEVER;
-		entry->down_seen = true;
+		entry->last_up_ms = JJ_MS_NEVER;
+		entry->seen_down = true;
 		break;
 	}
-	*is_news = entry->server->state != before || restarted;
+	*is_changed = entry->server->state != before || restarted;
 	fleet->version += entry->server->state != before;
-	if (*is_news)
+	if (*is_changed)
 		jj_actions_add_event(out, "server_state",
 		    "server=%s state=%s boot=%016llx", server->text,
 		    state_name(entry->server->state),
@@ -198,9 +205,11 @@
 		return;
 	other_boot = notice->boot != 0 && entry->server->boot != 0 &&
 	    notice->boot != entry->server->boot;
-	/* A late notice about an earlier run of the server would take the
-	 * restarted one out of service; what we saw ourselves goes first. */
-	if (other_boot && is_up_sign_fresh(entry, now))
+	/*
+	 * A late notice about an earlier process would take the restarted
+	 * server out of service; a fresh own observation takes priority.
+	 */
+	if (other_boot && is_up_observation_fresh(entry, now))
 		return;
 	before = entry->server->state;
 	switch (notice->state) {
@@ -208,8 +217,10 @@
 		set_leaving(entry, now);
 		break;
 	case JJ_SERVER_DOWN:
-		/* A neighbour that is cut from the server sees it down. */
-		if (is_up_sign_fresh(entry, now) ||
+		/*
+		 * A neighbour that is cut off from the server takes it as down.
+		 */
+		if (is_up_observation_fresh(entry, now) ||
 		    entry->server->state == JJ_SERVER_LEAVING)
 			return;
 		set_down(entry, now);
@@ -217,7 +228,7 @@
 	case JJ_SERVER_UP:
 		if (entry->server->state == JJ_SERVER_LEAVING && !other_boot)
 			return;
-		if (entry->server->state == JJ_SERVER_DOWN && entry->down_seen)
+		if (entry->server->state == JJ_SERVER_DOWN && entry->seen_down)
 			entry->server->down_until_ms = now;
 		else
 			set_up(entry);
@@ -288,8 +299,8 @@
 	entry->server = &fleet->servers[fleet->count];
 	memset(entry->server, 0, sizeof(*entry->server));
 	entry->server->name = *name;
-	entry->up_ms = JJ_MS_NEVER;
-	entry->leaving_ms = JJ_MS_NEVER;
+	entry->last_up_ms = JJ_MS_NEVER;
+	entry->last_leaving_ms = JJ_MS_NEVER;
 	index_entry(fleet, fleet->count);
 	fleet->count++;
 	fleet->version++;
@@ -377,13 +388,13 @@
 	entry->server->listed_leaving = line->leaving;
 	entry->listed = true;
 	entry->on_list = true;
-	entry->missed = 0;
+	entry->missed_lists = 0;
 	if (line->leaving && !was_leaving)
 		jj_actions_add_event(
 		    out, "server_leaving_listed", "server=%s", line->name.text);
 }
 
-/* True when the list shows at least half of the servers it showed before. */
+/* True when the list has at least half of the servers that lists had before. */
 static bool
 is_plausible(const jj_fleet_t *fleet)
 {
@@ -398,9 +409,11 @@
 	return shown > 0 && 2 * shown >= before;
 }
 
-/* One list without a server may be stale or cut short: work would leave a
- * server that is well. Only several lists over some time count, and never
- * against what the server showed us itself. */
+/*
+ * A single list without a server may be stale or incomplete, and a healthy
+ * server would get no work. A server counts as missing only after several lists
+ * over some time, and never against a fresh own observation.
+ */
 static void
 count_missing(jj_fleet_t *fleet, jj_ms_t now, jj_actions_t *out)
 {
@@ -411,14 +424,15 @@
 
 		if (entry->on_list || !entry->listed)
 			continue;
-		if (entry->missed == 0 || is_up_sign_fresh(entry, now)) {
-			entry->missed = 1;
-			entry->missed_ms = now;
+		if (entry->missed_lists == 0 ||
+		    is_up_observation_fresh(entry, now)) {
+			entry->missed_lists = 1;
+			entry->missing_since_ms = now;
 			continue;
 		}
-		entry->missed++;
-		if (entry->missed < MISSING_LISTS ||
-		    now - entry->missed_ms < MISSING_MS)
+		entry->missed_lists++;
+		if (entry->missed_lists < MISSING_LISTS ||
+		    now - entry->missing_since_ms < MISSING_MS)
 			continue;
 		entry->listed = false;
 		if (entry->server->state == JJ_SERVER_LEAVING)
@@ -441,7 +455,7 @@
 
 		if (!entry->listed && !entry->from_settings &&
 		    entry->server->state != JJ_SERVER_UP &&
-		    now - entry->missed_ms >= FORGET_MS)
+		    now - entry->missing_since_ms >= FORGET_MS)
 			continue;
 		if (kept != i)
 			move_entry(fleet, i, kept);
@@ -467,9 +481,9 @@
 {
 	entry->server->state = JJ_SERVER_UP;
 	entry->server->down_until_ms = 0;
-	entry->down_wait_ms = 0;
-	entry->down_seen = false;
-	entry->leaving_ms = JJ_MS_NEVER;
+	entry->down_backoff_ms = 0;
+	entry->seen_down = false;
+	entry->last_leaving_ms = JJ_MS_NEVER;
 }
 
 static void
@@ -477,15 +491,15 @@
 {
 	bool was_down = entry->server->state == JJ_SERVER_DOWN;
 
-	/* Many requests fail on one death; they count as one. */
+	/* Many requests fail when a server fails; they count as one failure. */
 	if (was_down && now < entry->server->down_until_ms)
 		return;
-	entry->down_wait_ms =
-	    was_down ? 2 * entry->down_wait_ms : DOWN_FIRST_MS;
-	if (entry->down_wait_ms > DOWN_MOST_MS)
-		entry->down_wait_ms = DOWN_MOST_MS;
+	entry->down_backoff_ms =
+	    was_down ? 2 * entry->down_backoff_ms : DOWN_BACKOFF_FIRST_MS;
+	if (entry->down_backoff_ms > DOWN_BACKOFF_MAX_MS)
+		entry->down_backoff_ms = DOWN_BACKOFF_MAX_MS;
 	entry->server->state = JJ_SERVER_DOWN;
-	entry->server->down_until_ms = now + entry->down_wait_ms;
+	entry->server->down_until_ms = now + entry->down_backoff_ms;
 }
 
 static void
@@ -493,26 +507,30 @@
 {
 	entry->server->state = JJ_SERVER_LEAVING;
 	entry->server->down_until_ms = 0;
-	entry->leaving_ms = now;
-	entry->down_seen = false;
+	entry->last_leaving_ms = now;
+	entry->seen_down = false;
 }
 
-/* A sign of life seen here. True when it shows a new run of the server. */
+/*
+ * Notes an own observation that the server is up. True when it has restarted.
+ */
 static bool
 note_up(entry_t *entry, uint64_t boot, jj_ms_t now)
 {
 	bool known = entry->server->boot != 0 && boot != 0;
 	bool restarted = known && boot != entry->server->boot;
 
-	entry->up_ms = now;
+	entry->last_up_ms = now;
 	if (boot != 0)
 		entry->server->boot = boot;
-	/* A leaving server still answers what it has; taking that for a
-	 * sign that it is back would send it new work while it drains. Only
-	 * another run, or a long time without a refusal, ends its leaving. */
-	if (entry->leaving_ms != JJ_MS_NEVER && !restarted &&
+	/*
+	 * A leaving server still answers its running requests; if that counted
+	 * as a return, it would get new work while it drains. Its leaving ends
+	 * only when it restarts, or after a long time without a refusal.
+	 */
+	if (entry->last_leaving_ms != JJ_MS_NEVER && !restarted &&
 	    (entry->server->listed_leaving ||
-		now - entry->leaving_ms < LEAVING_HOLD_MS)) {
+		now - entry->last_leaving_ms < LEAVING_RETRY_MS)) {
 		entry->server->state = JJ_SERVER_LEAVING;
 		return false;
 	}
@@ -521,10 +539,10 @@
 }
 
 static bool
-is_up_sign_fresh(const entry_t *entry, jj_ms_t now)
+is_up_observation_fresh(const entry_t *entry, jj_ms_t now)
 {
-	return entry->up_ms != JJ_MS_NEVER &&
-	    now - entry->up_ms <= SIGN_FRESH_MS;
+	return entry->last_up_ms != JJ_MS_NEVER &&
+	    now - entry->last_up_ms <= OBSERVATION_FRESH_MS;
 }
 
 static const char *
--- a/src/core/gateway.c
+++ b/src/core/gateway.c
@@ -1,6 +1,6 @@
 /**
  * @file gateway.c
- * @brief Puts the modules of a VM that serves routes together.
+ * @brief Combines the modules of a VM that serves routes.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -9,40 +9,47 @@
 #include "core/gateway_state.h"
 #include "core/struck.h"
 
-/** Tokens of the mirrors' calls. */
+/** Tokens that tell the platform calls of the mirrors apart. */
 #define TOKEN_CONFIG 1
 #define TOKEN_SERVERS 2
 #define TOKEN_RETIRE 3
-/** A VM that is silent for longer is held to be gone, not cut off, ms. */
-#define MISSED_MS 30000
-/** Between ticks of all modules, and while requests are under way, ms. */
+/**
+ * A VM without a heartbeat for longer than this is taken as gone, not as cut
+ * off, ms.
+ */
+#define VM_GONE_MS 30000
+/**
+ * Interval between ticks of all modules when idle; BUSY_TICK_MS applies while
+ * requests are in progress, ms.
+ */
 #define TICK_MS 200
 /**
- * Of the time in which news is due at each VM: a relay polls three times in
- * it, and one that is silent for two thirds is not counted on any more; what
- * is left is enough for a poll.
+ * Fractions of news_ms, the time within which each VM has to know a change. A
+ * relay polls RELAY_POLLS_PER_PERIOD times in it. A relay that sends nothing
+ * for RELAY_FRESH_TENTHS tenths of it is no longer relied on; the rest is long
+ * enough for a poll of one's own.
  */
-#define RELAY_PART 3
-#define FRESH_TENTHS 7
+#define RELAY_POLLS_PER_PERIOD 3
+#define RELAY_FRESH_TENTHS 7
 #define BUSY_TICK_MS 25
 
 static void init_mirrors(jj_gateway_t *);
 static void begin_list(void *);
 static void end_list(void *, jj_ms_t);
 static void take_config_object(void *, const jj_platform_item_t *);
-static void drop_nothing(void *, const char *);
+static void ignore_removed(void *, const char *);
 static void take_retirement(void *, const jj_platform_item_t *);
 static bool is_live(void *, const char *);
-static bool hears_others(void *);
-static bool misses_some(void *);
-static jj_ms_t reached_ms(void *);
+static bool has_live_peers(void *);
+static bool has_unreachable_peers(void *);
+static jj_ms_t platform_regained_ms(void *);
 static const jj_route_t *find_route(void *, const char *, const char *);
 static int64_t unix_ms(void *);
 static jj_bytes_t write_page(void *, const jj_inline_page_t *);
 static jj_ms_t earlier(jj_ms_t, jj_ms_t);
-static void set_loads(jj_gateway_t *);
-static void enter(jj_gateway_t *, jj_ms_t, jj_actions_t *);
-static void leave_step(jj_gateway_t *, jj_ms_t, jj_actions_t *);
+static void update_heartbeat_loads(jj_gateway_t *);
+static void begin_step(jj_gateway_t *, jj_ms_t, jj_actions_t *);
+static void end_step(jj_gateway_t *, jj_ms_t, jj_actions_t *);
 
 jj_gateway_t *
 jj_gateway_create(
@@ -50,10 +57,10 @@
 {
 	jj_gateway_t *gateway = jj_alloc(sizeof(*gateway));
 	jj_inline_port_t jobs = {gateway, is_live, jj_gateway_rank,
-	    hears_others, misses_some, reached_ms, find_route, unix_ms,
-	    jj_gateway_begin_item, jj_gateway_cancel_item,
+	    has_live_peers, has_unreachable_peers, platform_regained_ms,
+	    find_route, unix_ms, jj_gateway_begin_item, jj_gateway_cancel_item,
 	    jj_gateway_is_item_sent, write_page, jj_gateway_relay_jobs,
-	    jj_gateway_tell_ended};
+	    jj_gateway_notify_job_ended};
 
 	gateway->settings = *settings;
 	gateway->port = *port;
@@ -61,14 +68,15 @@
 	gateway->member = jj_member_create(&settings->member);
 	gateway->quarantine = jj_quarantine_create(&settings->quarantine);
 	gateway->slots = jj_slots_create(&settings->slots);
-	gateway->settings.jobs.relay_wait_ms = settings->news_ms / RELAY_PART;
+	gateway->settings.jobs.relay_wait_ms =
+	    settings->news_ms / RELAY_POLLS_PER_PERIOD;
 	gateway->settings.jobs.relay_fresh_ms =
-	    settings->news_ms * FRESH_TENTHS / 10;
+	    settings->news_ms * RELAY_FRESH_TENTHS / 10;
 	gateway->jobs = jj_inline_create(&gateway->settings.jobs, &jobs);
 	TAILQ_INIT(&gateway->sent);
 	TAILQ_INIT(&gateway->waiting);
 	TAILQ_INIT(&gateway->borrowed);
-	TAILQ_INIT(&gateway->lent);
+	TAILQ_INIT(&gateway->calls_for_peers);
 	init_mirrors(gateway);
 	jj_member_set_state(gateway->member, JJ_VM_SERVING);
 	return gateway;
@@ -83,14 +91,14 @@
 	if (gateway == NULL)
 		return;
 	TAILQ_INIT(&unused);
-	enter(gateway, gateway->last_tick_ms, &unused);
+	begin_step(gateway, gateway->last_tick_ms, &unused);
 	jj_inline_destroy(gateway->jobs);
 	while ((entry = TAILQ_FIRST(&gateway->sent)) != NULL)
 		jj_gateway_free_entry(gateway, entry);
 	while ((entry = TAILQ_FIRST(&gateway->waiting)) != NULL)
 		jj_gateway_free_entry(gateway, entry);
 	jj_actions_clear(&unused);
-	jj_gateway_drop_loans(gateway);
+	jj_gateway_free_peer_calls(gateway);
 	jj_slots_destroy(gateway->slots);
 	jj_quarantine_destroy(gateway->quarantine);
 	jj_member_destroy(gateway->member);
@@ -108,16 +116,16 @@
 	    jj_routes_match(&gateway->routes, job->host, job->path);
 	bool is_batch = route != NULL && route->kind == JJ_ROUTE_BATCH;
 	bool is_unknown = (route != NULL && route->backend_count == 0) ||
-	    (!is_batch && jj_gateway_is_behind(gateway));
+	    (!is_batch && jj_gateway_is_config_stale(gateway));
 	jj_action_t *action;
 
-	enter(gateway, now, out);
+	begin_step(gateway, now, out);
 	if (is_batch && !is_unknown) {
 		job->submitted_unix_ms =
 		    gateway->port.unix_ms(gateway->port.ctx);
 		jj_inline_submit(
 		    gateway->jobs, operation, job, route, now, out);
-		leave_step(gateway, now, out);
+		end_step(gateway, now, out);
 		return;
 	}
 	jj_actions_add_event(out, "job_without_route",
@@ -133,15 +141,15 @@
 jj_inline_t *
 jj_gateway_jobs(jj_gateway_t *gateway, jj_ms_t now, jj_actions_t *out)
 {
-	enter(gateway, now, out);
+	begin_step(gateway, now, out);
 	return gateway->jobs;
 }
 
 void
 jj_gateway_step(jj_gateway_t *gateway, jj_ms_t now, jj_actions_t *out)
 {
-	enter(gateway, now, out);
-	leave_step(gateway, now, out);
+	begin_step(gateway, now, out);
+	end_step(gateway, now, out);
 }
 
 void
@@ -150,20 +158,20 @@
 {
 	bool accepted;
 
-	enter(gateway, now, out);
+	begin_step(gateway, now, out);
 	accepted = jj_member_accept(gateway->member, message, now, out);
 	jj_struck_greet(gateway->quarantine, gateway->member, now, out);
 	if (accepted)
-		jj_gateway_take_news(gateway, message, now, out);
-	leave_step(gateway, now, out);
+		jj_gateway_take_peer_message(gateway, message, now, out);
+	end_step(gateway, now, out);
 }
 
 void
 jj_gateway_take_platform(jj_gateway_t *gateway,
     const jj_platform_result_t *result, jj_ms_t now, jj_actions_t *out)
 {
-	enter(gateway, now, out);
-	jj_gateway_note_reach(gateway, result, now);
+	begin_step(gateway, now, out);
+	jj_gateway_note_platform_reach(gateway, result, now);
 	if (result->unreadable > 0)
 		jj_actions_add_event(out, "objects_unreadable",
 		    "count=%zu of=%zu token=%llu version=%llu",
@@ -171,20 +179,20 @@
 		    (unsigned long long)result->token,
 		    (unsigned long long)result->version);
 	if (result->owner == JJ_OWNER_LENT)
-		jj_gateway_take_lent_result(gateway, result, out);
+		jj_gateway_answer_borrower(gateway, result, out);
 	else if (result->owner == JJ_OWNER_INLINE)
 		jj_inline_take_result(gateway->jobs, result, now, out);
 	else if (!jj_mirror_take_result(&gateway->config_mirror, result, now) &&
 	    !jj_mirror_take_result(&gateway->servers_mirror, result, now) &&
 	    !jj_mirror_take_result(&gateway->retire_mirror, result, now))
 		(void)jj_gateway_take_vms(gateway, result, now, out);
-	leave_step(gateway, now, out);
+	end_step(gateway, now, out);
 }
 
 void
 jj_gateway_tick(jj_gateway_t *gateway, jj_ms_t now, jj_actions_t *out)
 {
-	enter(gateway, now, out);
+	begin_step(gateway, now, out);
 	gateway->last_tick_ms = now;
 	jj_mirror_set_active(&gateway->retire_mirror,
 	    gateway->settings.retire_prefix[0] != '\0', now);
@@ -196,19 +204,19 @@
 	jj_mirror_tick(&gateway->config_mirror, now, out);
 	jj_mirror_tick(&gateway->servers_mirror, now, out);
 	if (jj_member_next(gateway->member) <= now)
-		set_loads(gateway);
+		update_heartbeat_loads(gateway);
 	jj_member_set_versions(gateway->member, gateway->routes.version, 0);
 	jj_member_tick(gateway->member, now, out);
-	jj_gateway_forget_lost(gateway, now, out);
+	jj_gateway_drop_stale_loads(gateway, now, out);
 	jj_gateway_tick_config(gateway, now, out);
 	jj_gateway_tick_vms(gateway, now, out);
 	jj_quarantine_tick(gateway->quarantine, now);
 	jj_gateway_tick_servers(gateway, now, out);
 	jj_gateway_check_times(gateway, now, out);
-	jj_gateway_tick_loans(gateway, now, out);
+	jj_gateway_expire_borrowed(gateway, now, out);
 	jj_inline_tick(gateway->jobs, now, out);
 	jj_gateway_tick_relay(gateway, now, out);
-	leave_step(gateway, now, out);
+	end_step(gateway, now, out);
 }
 
 jj_ms_t
@@ -227,22 +235,22 @@
 	next = earlier(next, jj_member_next(gateway->member));
 	next = earlier(next, jj_gateway_next_vms(gateway));
 	next = earlier(next, jj_inline_next(gateway->jobs));
-	if (gateway->news_near)
-		next = earlier(next, gateway->next_near_ms);
-	if (gateway->news_far)
-		next = earlier(next, gateway->next_far_ms);
-	/* No tick comes closer than 1 ms behind the last one. */
+	if (gateway->local_loads_changed)
+		next = earlier(next, gateway->next_local_loads_ms);
+	if (gateway->remote_loads_changed)
+		next = earlier(next, gateway->next_remote_loads_ms);
+	/* The next tick is at least 1 ms after the last one. */
 	return next > gateway->last_tick_ms ? next : gateway->last_tick_ms + 1;
 }
 
 void
 jj_gateway_leave(jj_gateway_t *gateway, jj_ms_t now, jj_actions_t *out)
 {
-	enter(gateway, now, out);
+	begin_step(gateway, now, out);
 	gateway->leaving = true;
 	jj_member_set_state(gateway->member, JJ_VM_LEAVING);
 	jj_inline_leave(gateway->jobs, now, out);
-	leave_step(gateway, now, out);
+	end_step(gateway, now, out);
 }
 
 bool
@@ -324,16 +332,20 @@
 	const jj_gateway_settings_t *from = &gateway->settings;
 	jj_mirror_settings_t settings = {JJ_OWNER_GATEWAY, TOKEN_CONFIG, "",
 	    from->watch_wait_ms, 0, from->backoff_ms, from->backoff_most_ms,
-	    from->news_ms / RELAY_PART, from->news_ms * FRESH_TENTHS / 10};
+	    from->news_ms / RELAY_POLLS_PER_PERIOD,
+	    from->news_ms * RELAY_FRESH_TENTHS / 10};
 	jj_mirror_port_t config = {gateway, begin_list, take_config_object,
-	    drop_nothing, end_list, jj_gateway_relay_objects};
+	    ignore_removed, end_list, jj_gateway_relay_objects};
 	jj_mirror_port_t servers = {gateway, jj_gateway_begin_servers,
 	    jj_gateway_take_server, jj_gateway_drop_server,
 	    jj_gateway_end_servers, jj_gateway_relay_objects};
-	jj_mirror_port_t retire = {
-	    gateway, begin_list, take_retirement, drop_nothing, end_list, NULL};
+	jj_mirror_port_t retire = {gateway, begin_list, take_retirement,
+	    ignore_removed, end_list, NULL};
 
-	/* A change is told on at once; changes come in rows now and then. */
+	/*
+	 * This VM forwards a configuration change as soon as it reads it, and
+	 * changes come in bursts: a quarter of the usual pause between watches.
+	 */
 	settings.spacing_ms = from->spacing_ms / 4;
 	(void)snprintf(settings.prefix, sizeof(settings.prefix), "%s",
 	    from->config_prefix);
@@ -363,7 +375,7 @@
 }
 
 static void
-drop_nothing(void *ctx, const char *key)
+ignore_removed(void *ctx, const char *key)
 {
 	(void)ctx;
 	(void)key;
@@ -384,7 +396,10 @@
 	jj_gateway_take_retirement(ctx, item);
 }
 
-/** @param writer NAME/HEX16 of a process. */
+/**
+ * True when that process is live.
+ * @param writer NAME/HEX16 of a process.
+ */
 static bool
 is_live(void *ctx, const char *writer)
 {
@@ -402,22 +417,25 @@
 }
 
 static bool
-hears_others(void *ctx)
+has_live_peers(void *ctx)
 {
 	return !jj_gateway_is_alone(ctx);
 }
 
 static jj_ms_t
-reached_ms(void *ctx)
+platform_regained_ms(void *ctx)
 {
 	const jj_gateway_t *gateway = ctx;
 
-	return gateway->reached_ms;
+	return gateway->platform_regained_ms;
 }
 
-/** Known VMs of the region that are silent, but for those long gone. */
+/**
+ * True when a known VM of the region is unreachable, but not for as long as
+ * VM_GONE_MS.
+ */
 static bool
-misses_some(void *ctx)
+has_unreachable_peers(void *ctx)
 {
 	const jj_gateway_t *gateway = ctx;
 	const jj_member_info_t *info;
@@ -427,13 +445,16 @@
 		info = jj_member_find(gateway->member, &gateway->vms[i].name);
 		if (info != NULL && !info->live &&
 		    info->heard_ms != JJ_MS_NEVER &&
-		    gateway->now - info->heard_ms < MISSED_MS)
+		    gateway->now - info->heard_ms < VM_GONE_MS)
 			return true;
 	}
 	return false;
 }
 
-/** None while its terms are not known: items wait for a later version. */
+/**
+ * NULL while no backend of the route is known: its items wait for a later
+ * version of the configuration.
+ */
 static const jj_route_t *
 find_route(void *ctx, const char *host, const char *path)
 {
@@ -465,38 +486,44 @@
 	return a < b ? a : b;
 }
 
-/** Heartbeats carry all of them: what they do not name is free. */
+/**
+ * Heartbeats carry all loads: receivers take a server that a heartbeat does not
+ * name as unused by this VM.
+ */
 static void
-set_loads(jj_gateway_t *gateway)
+update_heartbeat_loads(jj_gateway_t *gateway)
 {
-	uint32_t most = jj_slots_list_loads(gateway->slots, NULL, 0);
+	uint32_t count = jj_slots_list_loads(gateway->slots, NULL, 0);
 	jj_load_t *loads;
 
-	if (most > JJ_HEARTBEAT_LOADS_MAX)
-		most = JJ_HEARTBEAT_LOADS_MAX;
-	loads = jj_alloc((most + 1) * sizeof(*loads));
-	(void)jj_slots_list_loads(gateway->slots, loads, most);
-	jj_member_set_loads(gateway->member, loads, most);
+	if (count > JJ_HEARTBEAT_LOADS_MAX)
+		count = JJ_HEARTBEAT_LOADS_MAX;
+	loads = jj_alloc((count + 1) * sizeof(*loads));
+	(void)jj_slots_list_loads(gateway->slots, loads, count);
+	jj_member_set_loads(gateway->member, loads, count);
 	free(loads);
 }
 
 static void
-enter(jj_gateway_t *gateway, jj_ms_t now, jj_actions_t *out)
+begin_step(jj_gateway_t *gateway, jj_ms_t now, jj_actions_t *out)
 {
 	gateway->now = now;
 	gateway->out = out;
 }
 
-/** What every step may have made possible; then its messages are numbered. */
+/**
+ * Ends a step: does the work that it may have made possible, then numbers the
+ * messages that it added.
+ */
 static void
-leave_step(jj_gateway_t *gateway, jj_ms_t now, jj_actions_t *out)
+end_step(jj_gateway_t *gateway, jj_ms_t now, jj_actions_t *out)
 {
 	jj_action_t *action;
 
-	jj_gateway_pump_line(gateway, now, out);
-	jj_gateway_pump(gateway, now, out);
-	jj_gateway_tell_loads(gateway, now, out);
-	jj_gateway_borrow(gateway, now, out);
+	jj_gateway_send_queued(gateway, now, out);
+	jj_gateway_send_waiting_items(gateway, now, out);
+	jj_gateway_report_loads(gateway, now, out);
+	jj_gateway_borrow_calls(gateway, now, out);
 	TAILQ_FOREACH(action, out, link)
 	{
 		if (action->kind == JJ_ACTION_SEND &&
--- a/src/core/gateway_config.c
+++ b/src/core/gateway_config.c
@@ -1,14 +1,15 @@
 /**
  * @file gateway_config.c
- * @brief How a configuration gets from the VMs that know it to the others.
+ * @brief How a configuration spreads from the VMs that have it to the others.
  *
- * Each VM learns it from the platform, by itself or through its domain's
- * relay. Who knows a newer one than others only says so; a VM that still does
- * not have it after a while asks one that does. A configuration may have a
- * megabyte: sent by each VM to all that seemed to be behind, one of 0.3 MB
- * filled 57 links of 30 Mbit/s for eight seconds, VMs missed each other and
- * servers that left were sent requests. Of a change on 66 VMs, 30 MB went out
- * from each VM within two seconds; now it is some hundred bytes.
+ * Each VM reads it from the platform, by its own watch or through the relay of
+ * its failure domain. A VM that has a newer version than others sends them the
+ * version number only. A VM that still lacks that version after a while
+ * requests the document from one that has it. A configuration may have a
+ * megabyte: when each VM sent the document to all that seemed to be behind, one
+ * of 0.3 MB filled 57 links of 30 Mbit/s for eight seconds, heartbeats were
+ * lost and stopping servers were still sent requests. For one change on 66 VMs
+ * each VM sent 30 MB within two seconds; now it sends some hundred bytes.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -16,24 +17,24 @@
 #include "core/gateway_state.h"
 
 /**
- * Of the time in which news is due, the part that a VM waits for its own watch
- * before it asks; asks that are not answered are repeated after once, twice,
- * four times as long, so that there are three in that time.
+ * A VM waits news_ms / WAIT_DIVISOR for its own watch before it requests the
+ * document. Unanswered requests are repeated after once, twice and four times
+ * that time, so that there are three of them within news_ms.
  */
-#define WAIT_PART 6
+#define WAIT_DIVISOR 6
 /**
- * Most documents that one VM sends within that part. Who gets none asks
- * another one: those that have it are five times as many with each round, so
- * two rounds reach 25 VMs and three 125.
+ * Maximum number of documents that one VM sends within that time. A VM that
+ * gets none requests it from another one: with each round five times as many
+ * VMs have it, so two rounds reach 25 VMs and three 125.
  */
-#define SENDS_MOST 4
+#define DOCUMENTS_MAX 4
 
-static void log_behind(jj_gateway_t *, jj_ms_t, jj_actions_t *);
+static void log_stale_config(jj_gateway_t *, jj_ms_t, jj_actions_t *);
 static jj_ms_t wait_ms(const jj_gateway_t *);
-static void await(jj_gateway_t *, jj_ms_t);
-static void ask(jj_gateway_t *, jj_ms_t, jj_actions_t *);
+static void start_wait(jj_gateway_t *, jj_ms_t);
+static void request_document(jj_gateway_t *, jj_ms_t, jj_actions_t *);
 static bool choose_holder(jj_gateway_t *, jj_name_t *);
-static void announce(jj_gateway_t *);
+static void announce_version(jj_gateway_t *);
 static void
 send_document(jj_gateway_t *, const jj_name_t *, jj_ms_t, jj_actions_t *);
 
@@ -54,8 +55,8 @@
 		return false;
 	}
 	/*
-	 * Guards against going back: an older version may come late, from a
-	 * stale read, a neighbour that knows less or a watch that was cut.
+	 * Guards against a return to an older version, which may come late from
+	 * a stale read, a neighbour that is behind or an interrupted watch.
 	 */
 	if (routes.version <= gateway->routes.version) {
 		jj_routes_clear(&routes);
@@ -76,21 +77,21 @@
 	jj_bytes_free(&gateway->config_object);
 	gateway->config_object = jj_bytes_copy(object->data, object->size);
 	gateway->port.on_routes(gateway->port.ctx, &gateway->routes);
-	await(gateway, gateway->now);
-	announce(gateway);
+	start_wait(gateway, gateway->now);
+	announce_version(gateway);
 	return true;
 }
 
 void
-jj_gateway_hear_config(
+jj_gateway_note_peer_config(
     jj_gateway_t *gateway, const jj_name_t *from, uint64_t version, jj_ms_t now)
 {
 	jj_member_note_config(gateway->member, from, version);
-	if (version <= gateway->config.heard)
+	if (version <= gateway->config.newest_version)
 		return;
-	gateway->config.heard = version;
-	if (gateway->config.awaited <= gateway->routes.version)
-		await(gateway, now);
+	gateway->config.newest_version = version;
+	if (gateway->config.awaited_version <= gateway->routes.version)
+		start_wait(gateway, now);
 }
 
 void
@@ -104,7 +105,7 @@
 			send_document(gateway, &message->from, now, out);
 		return;
 	}
-	jj_gateway_hear_config(gateway, &message->from, version, now);
+	jj_gateway_note_peer_config(gateway, &message->from, version, now);
 	if (message->body.config.document.size > 0 &&
 	    version > gateway->routes.version)
 		(void)jj_gateway_take_config(gateway,
@@ -112,103 +113,106 @@
 }
 
 bool
-jj_gateway_is_behind(const jj_gateway_t *gateway)
+jj_gateway_is_config_stale(const jj_gateway_t *gateway)
 {
 	return gateway->routes.version == 0 || gateway->config.unreadable ||
-	    gateway->config.heard > gateway->routes.version;
+	    gateway->config.newest_version > gateway->routes.version;
 }
 
 void
 jj_gateway_tick_config(jj_gateway_t *gateway, jj_ms_t now, jj_actions_t *out)
 {
-	log_behind(gateway, now, out);
-	if (gateway->config.awaited <= gateway->routes.version ||
-	    now < gateway->config.ask_ms)
+	log_stale_config(gateway, now, out);
+	if (gateway->config.awaited_version <= gateway->routes.version ||
+	    now < gateway->config.next_document_request_ms)
 		return;
-	ask(gateway, now, out);
+	request_document(gateway, now, out);
 }
 
-/** After the time in which news is due, then each time after twice as long. */
+/** Logs a stale configuration after news_ms, then at doubling intervals. */
 static void
-log_behind(jj_gateway_t *gateway, jj_ms_t now, jj_actions_t *out)
+log_stale_config(jj_gateway_t *gateway, jj_ms_t now, jj_actions_t *out)
 {
 	jj_gateway_config_t *config = &gateway->config;
-	bool was_behind = config->behind;
+	bool was_stale = config->stale;
 
-	config->behind = jj_gateway_is_behind(gateway);
-	if (!config->behind)
+	config->stale = jj_gateway_is_config_stale(gateway);
+	if (!config->stale)
 		return;
-	if (!was_behind) {
-		config->behind_ms = now;
-		config->log_ms = now + gateway->settings.news_ms;
+	if (!was_stale) {
+		config->stale_since_ms = now;
+		config->next_log_ms = now + gateway->settings.news_ms;
 	}
-	if (now < config->log_ms)
+	if (now < config->next_log_ms)
 		return;
-	config->log_ms = now + (now - config->behind_ms);
+	config->next_log_ms = now + (now - config->stale_since_ms);
 	jj_actions_add_event(out, "config_behind",
 	    "in_force=%llu heard=%llu unreadable=%d for_ms=%lld "
 	    "platform_reached=%d",
 	    (unsigned long long)gateway->routes.version,
-	    (unsigned long long)config->heard, config->unreadable,
-	    (long long)(now - config->behind_ms), gateway->unreached_ms == 0);
+	    (unsigned long long)config->newest_version, config->unreadable,
+	    (long long)(now - config->stale_since_ms),
+	    gateway->platform_unreachable_ms == 0);
 }
 
 static jj_ms_t
 wait_ms(const jj_gateway_t *gateway)
 {
-	return gateway->settings.news_ms / WAIT_PART;
+	return gateway->settings.news_ms / WAIT_DIVISOR;
 }
 
 /**
- * The newest version that was heard of is waited for from now on, if it is not
- * here. One that is waited for already is not replaced by a newer one: where
- * changes come in a row, each would begin the wait anew.
+ * Starts to wait for the newest version known, if this VM lacks it. The wait
+ * for one version is not restarted by a newer one: with changes in quick
+ * succession each would restart it.
  */
 static void
-await(jj_gateway_t *gateway, jj_ms_t now)
+start_wait(jj_gateway_t *gateway, jj_ms_t now)
 {
 	jj_gateway_config_t *config = &gateway->config;
 
-	if (config->awaited > gateway->routes.version ||
-	    config->heard <= gateway->routes.version)
+	if (config->awaited_version > gateway->routes.version ||
+	    config->newest_version <= gateway->routes.version)
 		return;
-	config->awaited = config->heard;
-	config->ask_again_ms = wait_ms(gateway);
-	config->ask_ms = now;
-	/* What does not come from the platform need not be waited for. */
-	if (gateway->routes.version > 0 && gateway->unreached_ms == 0)
-		config->ask_ms += config->ask_again_ms;
+	config->awaited_version = config->newest_version;
+	config->request_interval_ms = wait_ms(gateway);
+	config->next_document_request_ms = now;
+	/* No need to wait for the platform while it is unreachable. */
+	if (gateway->routes.version > 0 &&
+	    gateway->platform_unreachable_ms == 0)
+		config->next_document_request_ms += config->request_interval_ms;
 }
 
 static void
-ask(jj_gateway_t *gateway, jj_ms_t now, jj_actions_t *out)
+request_document(jj_gateway_t *gateway, jj_ms_t now, jj_actions_t *out)
 {
 	jj_gateway_config_t *config = &gateway->config;
 	jj_message_t *message;
 	jj_name_t holder;
 
-	config->ask_ms = now + config->ask_again_ms;
+	config->next_document_request_ms = now + config->request_interval_ms;
 	if (!choose_holder(gateway, &holder))
 		return;
-	config->ask_again_ms *= 2;
+	config->request_interval_ms *= 2;
 	message = jj_actions_add_message(out, &holder, JJ_MESSAGE_CONFIG_ASK);
 	message->body.config.version = gateway->routes.version;
 	jj_actions_add_event(out, "config_asked",
 	    "peer=%s version=%llu heard=%llu again_ms=%lld", holder.text,
 	    (unsigned long long)gateway->routes.version,
-	    (unsigned long long)config->heard, (long long)config->ask_again_ms);
+	    (unsigned long long)config->newest_version,
+	    (long long)config->request_interval_ms);
 }
 
 /**
- * One of those that have a newer one, of the own failure domain if there is
- * one there, of another region too.
+ * Chooses a VM that has a newer version, in this failure domain if there is
+ * one, else in any region.
  */
 static bool
 choose_holder(jj_gateway_t *gateway, jj_name_t *holder)
 {
-	size_t most = jj_member_count(gateway->member) + 1;
-	jj_member_info_t *infos = jj_alloc(most * sizeof(*infos));
-	size_t count = jj_member_list_all(gateway->member, infos, most);
+	size_t max_count = jj_member_count(gateway->member) + 1;
+	jj_member_info_t *infos = jj_alloc(max_count * sizeof(*infos));
+	size_t count = jj_member_list_all(gateway->member, infos, max_count);
 	uint64_t random = jj_gateway_random(gateway);
 	uint64_t best = 0;
 	size_t i;
@@ -233,9 +237,9 @@
 	return best > 0;
 }
 
-/** To those that are not known to have it; a version only. */
+/** Sends the version number to the VMs that are not known to have it. */
 static void
-announce(jj_gateway_t *gateway)
+announce_version(jj_gateway_t *gateway)
 {
 	jj_member_info_t *infos;
 	size_t count = jj_gateway_list_others(gateway, &infos);
@@ -261,17 +265,18 @@
 
 	if (gateway->config_object.size == 0)
 		return;
-	if (now - config->sends_ms >= wait_ms(gateway)) {
-		config->sends_ms = now;
-		config->sends = 0;
+	if (now - config->window_start_ms >= wait_ms(gateway)) {
+		config->window_start_ms = now;
+		config->window_sends = 0;
 	}
-	if (config->sends >= SENDS_MOST) {
+	if (config->window_sends >= DOCUMENTS_MAX) {
 		jj_actions_add_event(out, "config_not_sent",
 		    "peer=%s version=%llu sends=%u", to->text,
-		    (unsigned long long)gateway->routes.version, config->sends);
+		    (unsigned long long)gateway->routes.version,
+		    config->window_sends);
 		return;
 	}
-	config->sends++;
+	config->window_sends++;
 	message = jj_actions_add_message(out, to, JJ_MESSAGE_CONFIG);
 	message->body.config.version = gateway->routes.version;
 	message->body.config.document = jj_bytes_copy(
--- a/src/core/gateway_deaths.c
+++ b/src/core/gateway_deaths.c
@@ -1,19 +1,23 @@
 /**
  * @file gateway_deaths.c
- * @brief Servers that died with requests on them, and servers that are dark.
+ * @brief Servers that crashed while they ran requests, and servers that accept
+ * no connections.
  */
 #include <stdlib.h>
 
 #include "core/gateway_state.h"
 
-/** Breaks within so long of each other belong to one crash, ms. */
+/**
+ * Connections that break within this time at one server belong to one crash,
+ * ms.
+ */
 #define CRASH_WINDOW_MS 300
 
 static void
 report_crash(jj_gateway_t *, const jj_slot_server_t *, jj_ms_t, jj_actions_t *);
 
 void
-jj_gateway_tell_unreachable(
+jj_gateway_notify_unreachable(
     jj_gateway_t *gateway, const jj_slot_server_t *server)
 {
 	jj_member_info_t *infos;
@@ -79,7 +83,10 @@
 	size_t i;
 
 	crash.server = server->info.id;
-	/* It names the process that died, not what has its id by now. */
+	/*
+	 * The report names the process that crashed, which may have been
+	 * replaced under the same id.
+	 */
 	crash.boot = server->hash;
 	for (i = 0; i < gateway->broken_count &&
 	     crash.suspect_count < JJ_MESSAGE_SUSPECTS_MAX;
--- a/src/core/gateway_items.c
+++ b/src/core/gateway_items.c
@@ -1,31 +1,39 @@
 /**
  * @file gateway_items.c
- * @brief Items of jobs: they fill free places and give them up at once.
+ * @brief Items of jobs: they use free request slots and are preempted by online
+ * requests.
  *
- * An item that is cut goes on elsewhere behind what it has; so cutting costs
- * little more than reading its prompt again, and batch may take nearly all
- * places that online leaves.
+ * A preempted item resumes at another server after the output that it already
+ * has. Preemption thus costs little more than reading its prompt again, so that
+ * items may use nearly all slots that online requests leave free.
  */
 #include <stdio.h>
 #include <string.h>
 
 #include "core/gateway_state.h"
 
-/** A cut item rests, so that it does not take the place it has just left. */
-#define CUT_REST_MS 40
-/** How often the time for a first event doubles. */
-#define STALL_DOUBLINGS_MOST 4
-/** How far the mean time of an item at servers moves with each one. */
-#define ITEM_MEAN_SHARE 0.1
-/** Servers an item may be sent to; its failures are counted by its job. */
-#define ATTEMPTS_MOST UINT32_MAX
+/**
+ * A preempted item waits this long before it is sent again, so that it does not
+ * take the slot that it was removed from, ms.
+ */
+#define PREEMPTED_DELAY_MS 40
+/** Maximum number of times that the limit for a first event doubles. */
+#define STALL_DOUBLINGS_MAX 4
+/** Weight of a new sample in the moving average of an item's run time. */
+#define ITEM_MEAN_WEIGHT 0.1
+/**
+ * The gateway does not limit the attempts of an item; its job counts the
+ * failures.
+ */
+#define ATTEMPTS_UNLIMITED UINT32_MAX
 
 static void
-pump_items(jj_gateway_t *, bool, const jj_name_t **, jj_ms_t, jj_actions_t *);
+send_items(jj_gateway_t *, bool, const jj_name_t **, jj_ms_t, jj_actions_t *);
 static void
 route_item(const jj_gateway_t *, jj_gateway_entry_t *, const jj_route_t *);
-static bool is_late(const jj_gateway_t *, const jj_gateway_entry_t *, jj_ms_t);
-static jj_ms_t ran_ms(const jj_gateway_entry_t *, jj_ms_t);
+static bool
+is_overdue(const jj_gateway_t *, const jj_gateway_entry_t *, jj_ms_t);
+static jj_ms_t total_run_ms(const jj_gateway_entry_t *, jj_ms_t);
 
 uint64_t
 jj_gateway_begin_item(void *ctx, const jj_inline_job_t *job,
@@ -40,11 +48,11 @@
 	(void)snprintf(entry->id, sizeof(entry->id), "%s", item->id);
 	entry->class_of = JJ_CLASS_BATCH;
 	entry->job = job;
-	entry->draw = jj_gateway_random(gateway);
+	entry->route_random = jj_gateway_random(gateway);
 	route_item(gateway, entry, route);
 	entry->streams = true;
 	entry->repeatable = true;
-	entry->attempts_most = ATTEMPTS_MOST;
+	entry->max_attempts = ATTEMPTS_UNLIMITED;
 	entry->begun_ms = gateway->now;
 	entry->give_up_ms = retention_ms;
 	entry->deadline_ms = retention_ms;
@@ -54,7 +62,7 @@
 		item->body.size, seed);
 	LIST_INSERT_HEAD(&gateway->buckets[entry->request % JJ_GATEWAY_BUCKETS],
 	    entry, bucket);
-	jj_gateway_wait(gateway, entry);
+	jj_gateway_add_waiting_item(gateway, entry);
 	gateway->counts[JJ_CLASS_BATCH]++;
 	return entry->request;
 }
@@ -92,8 +100,9 @@
 }
 
 /**
- * Guards against an item whose prompt takes longer than a silent stream is
- * given: no server would ever end it. It gets twice the time with each try.
+ * Guards against an item whose prompt takes longer than a stream may stay
+ * without an event: it would be moved from server to server and never end. The
+ * limit doubles with each stalled attempt.
  */
 jj_ms_t
 jj_gateway_stall_limit(
@@ -103,13 +112,13 @@
 
 	if (entry->class_of != JJ_CLASS_BATCH || entry->first_seen)
 		return gateway->settings.stall_ms;
-	if (doublings > STALL_DOUBLINGS_MOST)
-		doublings = STALL_DOUBLINGS_MOST;
+	if (doublings > STALL_DOUBLINGS_MAX)
+		doublings = STALL_DOUBLINGS_MAX;
 	return gateway->settings.stall_ms << doublings;
 }
 
 void
-jj_gateway_wait(jj_gateway_t *gateway, jj_gateway_entry_t *entry)
+jj_gateway_add_waiting_item(jj_gateway_t *gateway, jj_gateway_entry_t *entry)
 {
 	jj_gateway_entry_t *other;
 
@@ -125,27 +134,29 @@
 }
 
 /**
- * Those first that can still be in time, of them the first due. A late item
- * earns a tenth, and run first it makes the next one late too: in a backlog
- * all would be.
+ * Sends items that can still finish in time first, those with the earliest due
+ * time before the others. An overdue item is worth a tenth, and run first it
+ * would delay the next one past its due time: in a backlog all items would be
+ * overdue.
  */
 void
-jj_gateway_pump(jj_gateway_t *gateway, jj_ms_t now, jj_actions_t *out)
+jj_gateway_send_waiting_items(
+    jj_gateway_t *gateway, jj_ms_t now, jj_actions_t *out)
 {
 	const jj_name_t *full = NULL;
 
 	if (gateway->leaving)
 		return;
-	pump_items(gateway, false, &full, now, out);
-	pump_items(gateway, true, &full, now, out);
+	send_items(gateway, false, &full, now, out);
+	send_items(gateway, true, &full, now, out);
 }
 
 /**
- * Sends the items that are late, or those that are not.
- * @param full a service without room, or NULL; kept between calls.
+ * Sends either the overdue items or the others.
+ * @param full a service without free slots, or NULL; kept between calls.
  */
 static void
-pump_items(jj_gateway_t *gateway, bool late, const jj_name_t **full,
+send_items(jj_gateway_t *gateway, bool overdue, const jj_name_t **full,
     jj_ms_t now, jj_actions_t *out)
 {
 	jj_gateway_entry_t *entry;
@@ -156,9 +167,9 @@
 	     entry = next) {
 		next = TAILQ_NEXT(entry, link);
 		if (entry->class_of != JJ_CLASS_BATCH ||
-		    now < entry->rest_until_ms)
+		    now < entry->not_before_ms)
 			continue;
-		if (entry->routed != gateway->routes.version)
+		if (entry->routed_version != gateway->routes.version)
 			route_item(gateway, entry,
 			    jj_routes_match(&gateway->routes, entry->job->host,
 				entry->job->path));
@@ -166,7 +177,7 @@
 			continue;
 		if (*full != NULL && jj_name_equal(*full, &entry->service))
 			continue;
-		if (is_late(gateway, entry, now) != late)
+		if (is_overdue(gateway, entry, now) != overdue)
 			continue;
 		server = jj_slots_choose_batch(
 		    gateway->slots, &entry->service, NULL, now);
@@ -179,35 +190,39 @@
 }
 
 /**
- * The service by the configuration in force, which may have moved or dropped
- * the route since the item began; none while there is no route.
+ * Sets the item's service by the configuration in force, which may have moved
+ * or removed the route since the item began; empty while there is no route.
  */
 static void
 route_item(const jj_gateway_t *gateway, jj_gateway_entry_t *entry,
     const jj_route_t *route)
 {
 	const jj_name_t *service =
-	    route != NULL ? jj_route_pick(route, entry->draw) : NULL;
+	    route != NULL ? jj_route_pick(route, entry->route_random) : NULL;
 
-	entry->routed = gateway->routes.version;
+	entry->routed_version = gateway->routes.version;
 	memset(&entry->service, 0, sizeof(entry->service));
 	if (service != NULL)
 		entry->service = *service;
 }
 
-/** It cannot end in time any more, if it takes as long as others do. */
+/**
+ * True when the item would end after its due time if it takes as long as items
+ * do on average.
+ */
 static bool
-is_late(
+is_overdue(
     const jj_gateway_t *gateway, const jj_gateway_entry_t *entry, jj_ms_t now)
 {
-	jj_ms_t left = (jj_ms_t)gateway->item_mean_ms - ran_ms(entry, now);
+	jj_ms_t left =
+	    (jj_ms_t)gateway->mean_item_ms - total_run_ms(entry, now);
 
 	return now + (left > 0 ? left : 0) > entry->due_ms;
 }
 
-/** How long it was at servers, in all attempts. */
+/** Total time that the item ran at servers, over all attempts, ms. */
 static jj_ms_t
-ran_ms(const jj_gateway_entry_t *entry, jj_ms_t now)
+total_run_ms(const jj_gateway_entry_t *entry, jj_ms_t now)
 {
 	return entry->ran_ms + (entry->first_seen ? now - entry->sent_ms : 0);
 }
@@ -216,17 +231,17 @@
 jj_gateway_note_item_end(
     jj_gateway_t *gateway, const jj_gateway_entry_t *entry, jj_ms_t now)
 {
-	jj_ms_t took = ran_ms(entry, now);
+	jj_ms_t took = total_run_ms(entry, now);
 
-	if (gateway->item_mean_ms == 0)
-		gateway->item_mean_ms = (double)took;
-	gateway->item_mean_ms +=
-	    ITEM_MEAN_SHARE * ((double)took - gateway->item_mean_ms);
+	if (gateway->mean_item_ms == 0)
+		gateway->mean_item_ms = (double)took;
+	gateway->mean_item_ms +=
+	    ITEM_MEAN_WEIGHT * ((double)took - gateway->mean_item_ms);
 }
 
 bool
-jj_gateway_cut(jj_gateway_t *gateway, jj_slot_server_t *server, const char *why,
-    jj_ms_t now, jj_actions_t *out)
+jj_gateway_preempt(jj_gateway_t *gateway, jj_slot_server_t *server,
+    const char *why, jj_ms_t now, jj_actions_t *out)
 {
 	jj_gateway_entry_t *chosen = NULL;
 	jj_gateway_entry_t *entry;
@@ -238,19 +253,19 @@
 			continue;
 		if (chosen == NULL)
 			chosen = entry;
-		if (!is_late(gateway, entry, now))
+		if (!is_overdue(gateway, entry, now))
 			continue;
 		chosen = entry;
 		break;
 	}
 	if (chosen == NULL)
 		return false;
-	jj_gateway_cut_item(gateway, chosen, why, now, out);
+	jj_gateway_preempt_item(gateway, chosen, why, now, out);
 	return true;
 }
 
 void
-jj_gateway_cut_item(jj_gateway_t *gateway, jj_gateway_entry_t *entry,
+jj_gateway_preempt_item(jj_gateway_t *gateway, jj_gateway_entry_t *entry,
     const char *why, jj_ms_t now, jj_actions_t *out)
 {
 	jj_action_t *action = jj_actions_add(out, JJ_ACTION_BACKEND_CANCEL);
@@ -263,6 +278,6 @@
 	    (long long)(now - entry->sent_ms));
 	jj_gateway_leave_server(gateway, entry);
 	TAILQ_REMOVE(&gateway->waiting, entry, link);
-	entry->rest_until_ms = now + CUT_REST_MS;
-	jj_gateway_wait(gateway, entry);
+	entry->not_before_ms = now + PREEMPTED_DELAY_MS;
+	jj_gateway_add_waiting_item(gateway, entry);
 }
--- a/src/core/gateway_news.c
+++ b/src/core/gateway_news.c
@@ -1,6 +1,6 @@
 /**
  * @file gateway_news.c
- * @brief What VMs tell each other: loads, crashes, ends.
+ * @brief Messages between VMs: loads, crash reports, ended jobs.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -9,20 +9,25 @@
 #include "core/gateway_state.h"
 #include "core/struck.h"
 
-/** Between looks for VMs that fell silent, ms: silence itself takes eight
- * times as long to be noticed. */
-#define FORGET_MS 200
-/** Loads go to all VMs of a region one pause later for each so many. */
-#define VMS_PER_PAUSE 12
+/**
+ * Interval between checks for VMs that no longer send heartbeats, ms; the
+ * heartbeat timeout itself is eight times as long.
+ */
+#define STALE_CHECK_MS 200
+/**
+ * The interval between load reports to a region grows by one base interval for
+ * each so many VMs.
+ */
+#define VMS_PER_INTERVAL 12
 
 static void take_heartbeat(jj_gateway_t *, const jj_message_t *, jj_ms_t);
 static void
 take_states(jj_gateway_t *, const jj_message_t *, jj_ms_t, jj_actions_t *);
 static void send_loads(jj_gateway_t *, bool, jj_actions_t *);
-static jj_ms_t far_pause(const jj_gateway_t *);
+static jj_ms_t remote_interval(const jj_gateway_t *);
 
 void
-jj_gateway_take_news(jj_gateway_t *gateway, const jj_message_t *message,
+jj_gateway_take_peer_message(jj_gateway_t *gateway, const jj_message_t *message,
     jj_ms_t now, jj_actions_t *out)
 {
 	jj_slot_server_t *server;
@@ -54,16 +59,16 @@
 			jj_slots_note_doubt(server, now);
 		break;
 	case JJ_MESSAGE_LEND:
-		jj_gateway_lend(gateway, message, now, out);
+		jj_gateway_take_borrow_request(gateway, message, now, out);
 		break;
 	case JJ_MESSAGE_LENT:
-		jj_gateway_take_lent(gateway, message, now, out);
+		jj_gateway_take_borrow_result(gateway, message, now, out);
 		break;
 	case JJ_MESSAGE_YIELD:
 		server =
 		    jj_slots_find_hash(gateway->slots, message->body.yield);
 		if (server != NULL)
-			(void)jj_gateway_cut(
+			(void)jj_gateway_preempt(
 			    gateway, server, message->from.text, now, out);
 		break;
 	case JJ_MESSAGE_RELAY:
@@ -88,10 +93,10 @@
 }
 
 /**
- * Guards against old news taken for new: on a VM that is slow or was frozen a
- * message lies for a second before it is read, and readers would be told that
- * there is nothing where others have read a result. What the sender had heard
- * of this VM when it wrote shows how old the message is at most.
+ * Guards against old job states taken as new: on a VM that is slow or was
+ * paused a message may wait for a second before it is read, and readers would
+ * be told that there is no result where others have read one. The sequence
+ * number that the sender acknowledges bounds the age of the message.
  */
 static void
 take_states(jj_gateway_t *gateway, const jj_message_t *message, jj_ms_t now,
@@ -108,42 +113,50 @@
 }
 
 void
-jj_gateway_note_loads(jj_gateway_t *gateway)
+jj_gateway_mark_loads_changed(jj_gateway_t *gateway)
 {
-	gateway->news_near = true;
-	gateway->news_far = true;
+	gateway->local_loads_changed = true;
+	gateway->remote_loads_changed = true;
 }
 
 void
-jj_gateway_tell_loads(jj_gateway_t *gateway, jj_ms_t now, jj_actions_t *out)
+jj_gateway_report_loads(jj_gateway_t *gateway, jj_ms_t now, jj_actions_t *out)
 {
-	/* Heartbeats carry all loads: a round of its own has to be sooner. */
-	if (far_pause(gateway) >= gateway->settings.member.heartbeat_ms)
-		gateway->news_far = false;
-	if (gateway->news_far && now >= gateway->next_far_ms) {
+	/*
+	 * Heartbeats carry all loads: a separate report is only useful when it
+	 * comes before the next heartbeat.
+	 */
+	if (remote_interval(gateway) >= gateway->settings.member.heartbeat_ms)
+		gateway->remote_loads_changed = false;
+	if (gateway->remote_loads_changed &&
+	    now >= gateway->next_remote_loads_ms) {
 		send_loads(gateway, true, out);
-		gateway->news_far = false;
-		gateway->news_near = false;
-		gateway->next_near_ms = now + gateway->settings.tell_near_ms;
-		gateway->next_far_ms = now + far_pause(gateway);
-	} else if (gateway->news_near && now >= gateway->next_near_ms) {
+		gateway->remote_loads_changed = false;
+		gateway->local_loads_changed = false;
+		gateway->next_local_loads_ms =
+		    now + gateway->settings.tell_near_ms;
+		gateway->next_remote_loads_ms = now + remote_interval(gateway);
+	} else if (gateway->local_loads_changed &&
+	    now >= gateway->next_local_loads_ms) {
 		send_loads(gateway, false, out);
-		gateway->news_near = false;
-		gateway->next_near_ms = now + gateway->settings.tell_near_ms;
+		gateway->local_loads_changed = false;
+		gateway->next_local_loads_ms =
+		    now + gateway->settings.tell_near_ms;
 	}
 }
 
 void
-jj_gateway_forget_lost(jj_gateway_t *gateway, jj_ms_t now, jj_actions_t *out)
+jj_gateway_drop_stale_loads(
+    jj_gateway_t *gateway, jj_ms_t now, jj_actions_t *out)
 {
 	jj_slot_server_t *server;
 	const jj_member_info_t *info;
 	jj_name_t vm;
 	size_t i;
 
-	if (now < gateway->next_forget_ms)
+	if (now < gateway->next_stale_check_ms)
 		return;
-	gateway->next_forget_ms = now + FORGET_MS;
+	gateway->next_stale_check_ms = now + STALE_CHECK_MS;
 	for (server = jj_slots_first(gateway->slots); server != NULL;
 	     server = TAILQ_NEXT(server, link)) {
 		for (i = server->neighbour_count; i-- > 0;) {
@@ -163,7 +176,7 @@
 }
 
 void
-jj_gateway_tell_ended(void *ctx, const char *writer, const char *id)
+jj_gateway_notify_job_ended(void *ctx, const char *writer, const char *id)
 {
 	jj_gateway_t *gateway = ctx;
 	const char *slash = strrchr(writer, '/');
@@ -188,33 +201,33 @@
 
 	jj_slots_take_loads(gateway->slots, &message->from, heartbeat->loads,
 	    heartbeat->load_count, true);
-	jj_gateway_hear_config(
+	jj_gateway_note_peer_config(
 	    gateway, &message->from, heartbeat->config_version, now);
 }
 
 /**
- * Each VM sends to all others of the region; the more there are, the longer
- * it waits, so that what a VM sends and takes stays about the same.
+ * Each VM sends load reports to all others of the region. The interval grows
+ * with their number, so that the traffic of a VM stays about the same.
  */
 static jj_ms_t
-far_pause(const jj_gateway_t *gateway)
+remote_interval(const jj_gateway_t *gateway)
 {
 	return gateway->settings.tell_far_ms *
-	    (jj_ms_t)(1 + gateway->vm_count / VMS_PER_PAUSE);
+	    (jj_ms_t)(1 + gateway->vm_count / VMS_PER_INTERVAL);
 }
 
 static void
-send_loads(jj_gateway_t *gateway, bool far, jj_actions_t *out)
+send_loads(jj_gateway_t *gateway, bool remote, jj_actions_t *out)
 {
 	jj_load_t loads[JJ_MESSAGE_LOADS_MAX];
 	jj_member_info_t *infos;
-	size_t vms = far ? jj_gateway_list_others(gateway, &infos)
-			 : jj_gateway_list_near(gateway, &infos);
+	size_t vms = remote ? jj_gateway_list_others(gateway, &infos)
+			    : jj_gateway_list_local(gateway, &infos);
 	uint32_t count;
 	size_t i;
 
 	while ((count = jj_slots_take_news(gateway->slots,
-		    far ? JJ_SLOTS_FAR : JJ_SLOTS_NEAR, loads,
+		    remote ? JJ_SLOTS_FAR : JJ_SLOTS_NEAR, loads,
 		    JJ_MESSAGE_LOADS_MAX)) > 0) {
 		for (i = 0; i < vms; i++) {
 			jj_message_t *message = jj_actions_add_message(
--- a/src/core/gateway_relay.c
+++ b/src/core/gateway_relay.c
@@ -1,12 +1,14 @@
 /**
  * @file gateway_relay.c
- * @brief One VM of a failure domain watches; it tells the others.
+ * @brief One VM of a failure domain watches the platform and relays the
+ * updates.
  *
- * Each watch costs a call each time that it brings news. Where a domain has
- * many VMs, its live VM with the smallest name watches for all of them, in
- * short polls, and tells each poll to its neighbours, who count on it for a
- * while (core/mirror.h). Few VMs each watch for themselves: a poll that waits
- * long costs less than many short ones.
+ * Each watch costs a platform call for each update that it returns. In a
+ * failure domain with many VMs, the live VM with the smallest name watches for
+ * all of them, in short polls, and forwards the result of each poll. The other
+ * VMs rely on it for a limited time (core/mirror.h). In a domain with few VMs
+ * each watches for itself: one call that waits long costs less than many short
+ * ones.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -18,29 +20,35 @@
 #include "core/json_text.h"
 
 /**
- * From so many VMs in a domain on one of them relays. Three watches polled by
- * one VM in halves of the time in which news is due cost as much as those of
+ * Number of VMs in a domain from which on one of them relays. Three watches,
+ * polled by one VM twice per news_ms, cost as many calls as the watches of
  * about five VMs on a day with some hundred changes.
  */
-#define RELAY_VMS 5
-/** Between looks at who relays, ms: it changes when VMs come and go. */
-#define DUTY_MS 400
-/** What VMs run is told so often, ms: readers elsewhere count on it. */
-#define STATES_MS 400
+#define RELAY_MIN_VMS 5
+/**
+ * Interval between choices of the relay, which changes as VMs join and leave,
+ * ms.
+ */
+#define DUTY_CHECK_MS 400
+/**
+ * Interval between reports of the jobs that this VM runs, ms; VMs that serve
+ * readers rely on it.
+ */
+#define STATES_INTERVAL_MS 400
 
-/** Numbers of watches in messages. */
+/** Numbers of the watches in messages between VMs. */
 enum {
 	WATCH_CONFIG = 1,
 	WATCH_SERVERS,
 	WATCH_JOBS
 };
 
-static void tell_states(jj_gateway_t *, jj_ms_t, jj_actions_t *);
+static void report_states(jj_gateway_t *, jj_ms_t, jj_actions_t *);
 static void send_states(jj_gateway_t *, const jj_name_t *,
     const jj_job_standing_t *, uint32_t, jj_actions_t *);
 static jj_mirror_duty_t choose_duty(const jj_gateway_t *);
 static void count_vms(jj_gateway_t *);
-static void tell(jj_gateway_t *, uint32_t, uint64_t, uint64_t,
+static void relay_events(jj_gateway_t *, uint32_t, uint64_t, uint64_t,
     const jj_platform_item_t *, size_t);
 static json_t *encode(const jj_platform_item_t *, size_t);
 static jj_platform_item_t *decode(const jj_bytes_t *, size_t *);
@@ -51,10 +59,10 @@
 {
 	jj_mirror_duty_t duty;
 
-	tell_states(gateway, now, out);
-	if (now < gateway->next_duty_ms)
+	report_states(gateway, now, out);
+	if (now < gateway->next_duty_check_ms)
 		return;
-	gateway->next_duty_ms = now + DUTY_MS;
+	gateway->next_duty_check_ms = now + DUTY_CHECK_MS;
 	count_vms(gateway);
 	duty = choose_duty(gateway);
 	if (duty != gateway->config_mirror.duty)
@@ -73,7 +81,7 @@
 {
 	jj_gateway_t *gateway = ctx;
 
-	tell(gateway,
+	relay_events(gateway,
 	    token == gateway->config_mirror.settings.token ? WATCH_CONFIG
 							   : WATCH_SERVERS,
 	    from, to, items, count);
@@ -83,7 +91,7 @@
 jj_gateway_relay_jobs(void *ctx, uint64_t from, uint64_t to,
     const jj_platform_item_t *items, size_t count)
 {
-	tell(ctx, WATCH_JOBS, from, to, items, count);
+	relay_events(ctx, WATCH_JOBS, from, to, items, count);
 }
 
 void
@@ -107,35 +115,35 @@
 	free_items(items, count);
 }
 
-/** All VMs of the region that live: each may be asked by a reader. */
+/** Reports to all live VMs of the region: a reader may query any of them. */
 static void
-tell_states(jj_gateway_t *gateway, jj_ms_t now, jj_actions_t *out)
+report_states(jj_gateway_t *gateway, jj_ms_t now, jj_actions_t *out)
 {
 	jj_job_standing_t *states;
 	jj_member_info_t *infos;
 	uint32_t count;
-	uint32_t told;
+	uint32_t offset;
 	size_t vms;
 	size_t i;
 
-	if (now < gateway->next_states_ms)
+	if (now < gateway->next_job_states_ms)
 		return;
-	gateway->next_states_ms = now + STATES_MS;
+	gateway->next_job_states_ms = now + STATES_INTERVAL_MS;
 	count = jj_inline_list_states(gateway->jobs, NULL, 0);
 	if (count == 0)
 		return;
 	states = jj_alloc(count * sizeof(*states));
 	(void)jj_inline_list_states(gateway->jobs, states, count);
 	vms = jj_gateway_list_others(gateway, &infos);
-	for (told = 0; told < count; told += JJ_MESSAGE_JOB_STATES_MAX)
+	for (offset = 0; offset < count; offset += JJ_MESSAGE_JOB_STATES_MAX)
 		for (i = 0; i < vms; i++)
-			send_states(gateway, &infos[i].name, states + told,
-			    count - told, out);
+			send_states(gateway, &infos[i].name, states + offset,
+			    count - offset, out);
 	free(infos);
 	free(states);
 }
 
-/** As many as one message holds. */
+/** Sends as many states as one message holds. */
 static void
 send_states(jj_gateway_t *gateway, const jj_name_t *to,
     const jj_job_standing_t *states, uint32_t count, jj_actions_t *out)
@@ -151,56 +159,58 @@
 	    message->body.job_states.states, states, count * sizeof(states[0]));
 }
 
-/** Of this failure domain, and of all others. */
+/** Counts the live VMs of this failure domain, and those of all others. */
 static void
 count_vms(jj_gateway_t *gateway)
 {
-	uint32_t near = 1;
-	uint32_t far = 0;
+	uint32_t local = 1;
+	uint32_t remote = 0;
 	size_t i;
 
 	for (i = 0; i < gateway->vm_count; i++) {
 		const jj_gateway_vm_t *vm = &gateway->vms[i];
 
-		if (jj_gateway_is_near(gateway, vm))
-			near++;
+		if (jj_gateway_is_local(gateway, vm))
+			local++;
 		else if (jj_member_is_live(gateway->member, &vm->name))
-			far++;
+			remote++;
 	}
-	jj_slots_set_vms(gateway->slots, near, far);
+	jj_slots_set_vms(gateway->slots, local, remote);
 }
 
 static jj_mirror_duty_t
 choose_duty(const jj_gateway_t *gateway)
 {
 	const jj_name_t *self = &gateway->settings.name;
-	size_t near_count = 1;
+	size_t local_count = 1;
 	bool is_first = true;
 	size_t i;
 
 	for (i = 0; i < gateway->vm_count; i++) {
 		const jj_gateway_vm_t *vm = &gateway->vms[i];
 
-		if (!jj_gateway_is_near(gateway, vm))
+		if (!jj_gateway_is_local(gateway, vm))
 			continue;
-		near_count++;
+		local_count++;
 		if (strcmp(vm->name.text, self->text) < 0)
 			is_first = false;
 	}
-	if (near_count < RELAY_VMS)
+	if (local_count < RELAY_MIN_VMS)
 		return JJ_MIRROR_ALONE;
 	return is_first ? JJ_MIRROR_RELAYS : JJ_MIRROR_LISTENS;
 }
 
 static void
-tell(jj_gateway_t *gateway, uint32_t watch, uint64_t from, uint64_t to,
+relay_events(jj_gateway_t *gateway, uint32_t watch, uint64_t from, uint64_t to,
     const jj_platform_item_t *items, size_t count)
 {
 	jj_bytes_t events = jj_json_take_bytes(encode(items, count));
 	jj_message_t *message;
 	size_t i;
 
-	/* Listeners that miss what is before `from` ask the platform at once.
+	/*
+	 * Too large for one message: an empty update shows listeners that they
+	 * lack versions, and they query the platform at once.
 	 */
 	if (events.size > JJ_MESSAGE_BYTES_MAX) {
 		jj_actions_add_event(gateway->out, "relay_too_large",
@@ -213,7 +223,7 @@
 	for (i = 0; i < gateway->vm_count; i++) {
 		const jj_gateway_vm_t *vm = &gateway->vms[i];
 
-		if (!jj_gateway_is_near(gateway, vm))
+		if (!jj_gateway_is_local(gateway, vm))
 			continue;
 		message = jj_actions_add_message(
 		    gateway->out, &vm->name, JJ_MESSAGE_RELAY);
@@ -227,8 +237,9 @@
 }
 
 /**
- * Without versions of an object that the same poll replaced. Those behind a
- * deletion stay: they show a listener that the deletion is an old one.
+ * Encodes the items as JSON without versions of an object that the same poll
+ * replaced. Versions after a deletion are kept: they show a listener that the
+ * deletion is outdated.
  */
 static json_t *
 encode(const jj_platform_item_t *items, size_t count)
@@ -264,7 +275,10 @@
 	return array;
 }
 
-/** NULL with a count when the text is malformed. */
+/**
+ * Decodes a JSON array of items. NULL with a count above 0 when it is
+ * malformed.
+ */
 static jj_platform_item_t *
 decode(const jj_bytes_t *events, size_t *count)
 {
--- a/src/core/gateway_requests.c
+++ b/src/core/gateway_requests.c
@@ -1,11 +1,12 @@
 /**
  * @file gateway_requests.c
- * @brief Callers' requests: placed, sent again where that is allowed, ended.
+ * @brief Callers' requests: sent to a server, retried where that is allowed,
+ * ended.
  *
- * A request is sent again only when the attempt before surely did not run, or
- * when its route says that it may run again or go on elsewhere. What is given
- * up on is answered at once; "not run" is said only while no attempt may have
- * run.
+ * A request is sent again only when the attempt before certainly did not run,
+ * or when its route allows to run it again or to resume it at another server. A
+ * request that is abandoned is answered at once. The answer says "not run" only
+ * if no attempt may have run.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -14,12 +15,12 @@
 #include "core/gateway_state.h"
 
 /**
- * What a process had sent before its end is read within, ms: a VM that was
- * frozen has its sockets full, and looks at them 25 ms after its timers.
+ * Data that a process sent before it ended is read within this time, ms: a VM
+ * that was paused has full sockets, and reads them 25 ms after its timers.
  */
-#define REPLACED_MS 200
-/** How far the mean time of a request at its server moves with each one. */
-#define MEAN_SHARE 0.05
+#define REPLACED_DRAIN_MS 200
+/** Weight of a new sample in the moving average of a request's service time. */
+#define MEAN_WEIGHT 0.05
 
 static bool
 has_stalled(const jj_gateway_t *, const jj_gateway_entry_t *, jj_ms_t);
@@ -30,30 +31,32 @@
 static bool
 check_entry(jj_gateway_t *, jj_gateway_entry_t *, jj_ms_t, jj_actions_t *);
 static const jj_name_t *
-place_to_avoid(const jj_gateway_t *, const jj_gateway_entry_t *);
+server_to_avoid(const jj_gateway_t *, const jj_gateway_entry_t *);
 static void
-make_room(jj_gateway_t *, jj_slot_server_t *, jj_ms_t, jj_actions_t *);
+preempt_if_full(jj_gateway_t *, jj_slot_server_t *, jj_ms_t, jj_actions_t *);
 static void
-take_place(jj_gateway_t *, jj_slot_server_t *, jj_ms_t, jj_actions_t *);
+free_slot(jj_gateway_t *, jj_slot_server_t *, jj_ms_t, jj_actions_t *);
 static jj_ms_t
 wait_limit(const jj_gateway_t *, const jj_gateway_entry_t *, jj_ms_t);
 static void
 note_crowded(jj_gateway_t *, jj_gateway_entry_t *, jj_ms_t, jj_actions_t *);
-static void note_hold(jj_gateway_t *, const jj_gateway_entry_t *, jj_ms_t);
+static void
+note_service_time(jj_gateway_t *, const jj_gateway_entry_t *, jj_ms_t);
 static void take_failure(jj_gateway_t *, jj_gateway_entry_t *,
     const jj_backend_event_t *, jj_ms_t, jj_actions_t *);
-static void take_sign(
+static void take_progress(
     jj_gateway_t *, jj_gateway_entry_t *, const jj_backend_event_t *, jj_ms_t);
 static void take_end(jj_gateway_t *, jj_gateway_entry_t *,
     const jj_backend_event_t *, int, jj_bytes_t *, jj_ms_t, jj_actions_t *);
 static void note_server(
     jj_gateway_t *, jj_gateway_entry_t *, const jj_backend_event_t *, jj_ms_t);
 static void
-try_again(jj_gateway_t *, jj_gateway_entry_t *, jj_ms_t, jj_actions_t *);
-static void cut_off(jj_gateway_t *, jj_gateway_entry_t *, jj_actions_t *);
+retry(jj_gateway_t *, jj_gateway_entry_t *, jj_ms_t, jj_actions_t *);
+static void
+cancel_attempt(jj_gateway_t *, jj_gateway_entry_t *, jj_actions_t *);
 static void
 log_end(const jj_gateway_entry_t *, const char *, jj_ms_t, jj_actions_t *);
-static jj_ms_t come_back_ms(jj_gateway_t *, jj_give_up_t);
+static jj_ms_t choose_retry_after_ms(jj_gateway_t *, jj_give_up_t);
 static const char *name_of_kind(jj_backend_kind_t);
 
 void
@@ -67,10 +70,10 @@
 	gateway->now = now;
 	gateway->out = out;
 	if (route == NULL || route->kind == JJ_ROUTE_BATCH) {
-		/* The newest configuration may have a route for it. */
+		/* A newer configuration may have a route for it. */
 		refuse(gateway, request,
-		    jj_gateway_is_behind(gateway) ? JJ_GIVE_UP_NO_CONFIG
-						  : JJ_GIVE_UP_NO_SERVICE,
+		    jj_gateway_is_config_stale(gateway) ? JJ_GIVE_UP_NO_CONFIG
+							: JJ_GIVE_UP_NO_SERVICE,
 		    out);
 		return;
 	}
@@ -84,7 +87,7 @@
 		return;
 	}
 	entry = add_entry(gateway, request, route, now);
-	jj_gateway_place(gateway, entry, now, out);
+	jj_gateway_dispatch(gateway, entry, now, out);
 	jj_gateway_step(gateway, now, out);
 }
 
@@ -97,7 +100,7 @@
 
 	gateway->now = now;
 	gateway->out = out;
-	/* Of an attempt that was given up on nothing counts any more. */
+	/* Events of an attempt that was abandoned are ignored. */
 	if (entry == NULL || entry->server == NULL ||
 	    entry->attempt != event->attempt)
 		return;
@@ -105,7 +108,7 @@
 	switch (event->kind) {
 	case JJ_BACKEND_FIRST:
 	case JJ_BACKEND_TOKENS:
-		take_sign(gateway, entry, event, now);
+		take_progress(gateway, entry, event, now);
 		return;
 	case JJ_BACKEND_DONE:
 	case JJ_BACKEND_REJECTED:
@@ -127,7 +130,7 @@
 	if (entry == NULL)
 		return;
 	log_end(entry, "caller_gone", now, out);
-	cut_off(gateway, entry, out);
+	cancel_attempt(gateway, entry, out);
 	jj_gateway_free_entry(gateway, entry);
 	jj_gateway_step(gateway, now, out);
 }
@@ -179,33 +182,37 @@
 {
 	if (entry->server != NULL)
 		jj_gateway_leave_server(gateway, entry);
-	jj_gateway_leave_line(gateway, entry);
+	jj_gateway_dequeue(gateway, entry);
 	TAILQ_REMOVE(&gateway->waiting, entry, link);
 	LIST_REMOVE(entry, bucket);
 	gateway->counts[entry->class_of]--;
 	free(entry);
 }
 
-/** Online only: a place, a wait for one (gateway_line.c), or an answer now. */
+/**
+ * Online requests only: sends the request to a server, queues it
+ * (gateway_queue.c) or answers it at once.
+ */
 void
-jj_gateway_place(jj_gateway_t *gateway, jj_gateway_entry_t *entry, jj_ms_t now,
-    jj_actions_t *out)
+jj_gateway_dispatch(jj_gateway_t *gateway, jj_gateway_entry_t *entry,
+    jj_ms_t now, jj_actions_t *out)
 {
-	jj_slots_wish_t wish = {&entry->service, place_to_avoid(gateway, entry),
-	    jj_gateway_first_within(entry)};
+	jj_slots_wish_t criteria = {&entry->service,
+	    server_to_avoid(gateway, entry),
+	    jj_gateway_first_event_limit(entry)};
 	jj_slot_server_t *server;
 	bool full;
 
-	server = jj_slots_choose_online(gateway->slots, &wish, now, &full);
+	server = jj_slots_choose_online(gateway->slots, &criteria, now, &full);
 	if (server == NULL && full &&
-	    jj_gateway_enter_line(gateway, entry, now, out))
+	    jj_gateway_enqueue(gateway, entry, now, out))
 		return;
 	if (server == NULL) {
 		jj_gateway_give_up(gateway, entry,
 		    full ? JJ_GIVE_UP_OVERLOADED : JJ_GIVE_UP_NO_SERVER, out);
 		return;
 	}
-	make_room(gateway, server, now, out);
+	preempt_if_full(gateway, server, now, out);
 	jj_gateway_send(gateway, entry, server, now, out);
 }
 
@@ -219,12 +226,14 @@
 	action->body.answer.reason = reason;
 	action->body.answer.run =
 	    entry->may_have_run ? JJ_RUN_UNKNOWN : JJ_RUN_NOT_RUN;
-	action->body.answer.retry_after_ms = come_back_ms(gateway, reason);
+	action->body.answer.retry_after_ms =
+	    choose_retry_after_ms(gateway, reason);
 	jj_actions_add_event(out, "request_given_up",
 	    "request=%s reason=%s may_have_run=%d relayed=%d tries=%u sent=%u "
 	    "server=%s after_ms=%lld",
 	    entry->id, jj_give_up_name(reason), entry->may_have_run,
-	    entry->relayed, entry->tries, entry->sent, entry->last_server.text,
+	    entry->relayed, entry->tries, entry->sent_attempts,
+	    entry->last_server.text,
 	    (long long)(gateway->now - entry->begun_ms));
 	jj_gateway_free_entry(gateway, entry);
 }
@@ -239,7 +248,7 @@
 	jj_slots_remove(entry->server, entry->class_of);
 	entry->server = NULL;
 	TAILQ_INSERT_HEAD(&gateway->waiting, entry, link);
-	jj_gateway_note_loads(gateway);
+	jj_gateway_mark_loads_changed(gateway);
 }
 
 void
@@ -248,20 +257,20 @@
 {
 	jj_action_t *action = jj_actions_add(out, JJ_ACTION_BACKEND_START);
 
-	jj_gateway_leave_line(gateway, entry);
+	jj_gateway_dequeue(gateway, entry);
 	TAILQ_REMOVE(&gateway->waiting, entry, link);
 	TAILQ_INSERT_TAIL(&gateway->sent, entry, link);
 	entry->attempt++;
 	entry->tries++;
 	entry->server = server;
 	entry->last_server = server->info.id;
-	entry->last_hash = server->hash;
+	entry->last_server_hash = server->hash;
 	entry->sent_ms = now;
-	entry->sign_ms = now;
+	entry->last_event_ms = now;
 	entry->first_seen = false;
 	entry->crowded = false;
 	jj_slots_add(server, entry->class_of);
-	jj_gateway_note_loads(gateway);
+	jj_gateway_mark_loads_changed(gateway);
 	action->body.start.request = entry->request;
 	action->body.start.attempt = entry->attempt;
 	action->body.start.server = server->info.id;
@@ -280,10 +289,11 @@
 	jj_gateway_entry_t *next;
 
 	/*
-	 * What is sent again may cut any item of the list, the next one too:
-	 * taken for one at a server, it ended the process. So the list is
-	 * looked at from its start after each change; what was changed has
-	 * left it or is young.
+	 * A request that is sent again may preempt any item of the list, also
+	 * the next one; that item was then handled as if it were still at a
+	 * server, which ended the process. So the loop restarts after each
+	 * change; an entry that was changed has left the list or was sent just
+	 * now.
 	 */
 	for (entry = TAILQ_FIRST(&gateway->sent); entry != NULL; entry = next) {
 		next = TAILQ_NEXT(entry, link);
@@ -292,7 +302,10 @@
 	}
 }
 
-/** True when it, or another one, left its place. */
+/**
+ * Checks the time limits of an entry. True when it, or another entry, left its
+ * server.
+ */
 static bool
 check_entry(jj_gateway_t *gateway, jj_gateway_entry_t *entry, jj_ms_t now,
     jj_actions_t *out)
@@ -301,7 +314,7 @@
 
 	if (entry->class_of == JJ_CLASS_ONLINE && now >= entry->give_up_ms) {
 		entry->may_have_run = true;
-		cut_off(gateway, entry, out);
+		cancel_attempt(gateway, entry, out);
 		jj_gateway_give_up(gateway, entry, JJ_GIVE_UP_DEADLINE, out);
 		return true;
 	}
@@ -313,23 +326,23 @@
 	if (!has_stalled(gateway, entry, now))
 		return false;
 	entry->stalls += !entry->first_seen;
-	cut_off(gateway, entry, out);
+	cancel_attempt(gateway, entry, out);
 	stalled.request = entry->request;
 	stalled.kind = JJ_BACKEND_BROKEN;
 	jj_actions_add_event(out, "stream_stalled",
 	    "request=%s server=%s silent_ms=%lld replaced=%d", entry->id,
-	    entry->server->info.id.text, (long long)(now - entry->sign_ms),
-	    entry->server->replaced);
+	    entry->server->info.id.text,
+	    (long long)(now - entry->last_event_ms), entry->server->replaced);
 	take_failure(gateway, entry, &stalled, now, out);
 	return true;
 }
 
 /**
- * Guards against waiting for a process that is gone: one that died without a
- * word, behind a cut or with its VM, resets no connection, and its successor
- * under the same id answers for new ones only. What it had sent before is read
- * first. Without a successor silence alone shows it, and only what may be sent
- * again is moved.
+ * Guards against waiting for a process that has ended. A process that ended
+ * behind a network cut or with its VM resets no connection, and its successor
+ * under the same id answers only new requests. Data that it sent before is read
+ * first. Without a successor only missing events show the end, and only a
+ * request that may be repeated is moved.
  */
 static bool
 has_stalled(
@@ -337,11 +350,13 @@
 {
 	const jj_slot_server_t *server = entry->server;
 
-	if (server->replaced && now - server->replaced_ms >= REPLACED_MS &&
-	    now - entry->sign_ms >= REPLACED_MS)
+	if (server->replaced &&
+	    now - server->replaced_ms >= REPLACED_DRAIN_MS &&
+	    now - entry->last_event_ms >= REPLACED_DRAIN_MS)
 		return true;
 	return entry->repeatable &&
-	    now - entry->sign_ms >= jj_gateway_stall_limit(gateway, entry);
+	    now - entry->last_event_ms >=
+	    jj_gateway_stall_limit(gateway, entry);
 }
 
 static jj_gateway_entry_t *
@@ -359,14 +374,15 @@
 	entry->service = *jj_route_pick(route, jj_gateway_random(gateway));
 	entry->streams = route->kind == JJ_ROUTE_STREAM;
 	entry->repeatable = jj_route_is_repeatable(route);
-	entry->attempts_most = route->attempts > 0 ? route->attempts : 1;
+	entry->max_attempts = route->attempts > 0 ? route->attempts : 1;
 	entry->begun_ms = now;
 	entry->give_up_ms = now + budget;
 	entry->deadline_ms = now +
 	    (request->budget_ms > 0 ? request->budget_ms : route->timeout_ms);
 	entry->target_ms = route->target_ms;
-	entry->returned = jj_gateway_has_returned(gateway, route, request);
-	entry->line_until_ms = jj_gateway_line_until(request, now);
+	entry->client_retry =
+	    jj_gateway_is_client_retry(gateway, route, request);
+	entry->queue_until_ms = jj_gateway_queue_deadline(request, now);
 	entry->fingerprint = request->fingerprint;
 	LIST_INSERT_HEAD(&gateway->buckets[entry->request % JJ_GATEWAY_BUCKETS],
 	    entry, bucket);
@@ -384,44 +400,47 @@
 	action->body.answer.request = request->request;
 	action->body.answer.reason = reason;
 	action->body.answer.run = JJ_RUN_NOT_RUN;
-	action->body.answer.retry_after_ms = come_back_ms(gateway, reason);
+	action->body.answer.retry_after_ms =
+	    choose_retry_after_ms(gateway, reason);
 	jj_actions_add_event(out, "request_refused",
 	    "request=%s reason=%s host=%s path=%.60s config=%llu", request->id,
 	    jj_give_up_name(reason), request->host, request->path,
 	    (unsigned long long)gateway->routes.version);
 }
 
-/** Where it failed before, unless another process is there by now. */
+/**
+ * The server of the last attempt, or NULL when another process runs there now.
+ */
 static const jj_name_t *
-place_to_avoid(const jj_gateway_t *gateway, const jj_gateway_entry_t *entry)
+server_to_avoid(const jj_gateway_t *gateway, const jj_gateway_entry_t *entry)
 {
 	const jj_slot_server_t *last;
 
 	if (entry->tries == 0)
 		return NULL;
 	last = jj_slots_find(gateway->slots, entry->last_server.text);
-	return last != NULL && last->hash == entry->last_hash
+	return last != NULL && last->hash == entry->last_server_hash
 	    ? &entry->last_server
 	    : NULL;
 }
 
-/** Batch gives its place up before the request gets there. */
+/** Preempts an item of a full server before the request arrives there. */
 static void
-make_room(jj_gateway_t *gateway, jj_slot_server_t *server, jj_ms_t now,
+preempt_if_full(jj_gateway_t *gateway, jj_slot_server_t *server, jj_ms_t now,
     jj_actions_t *out)
 {
 	if (jj_slot_server_taken(server) >= server->info.slots)
-		take_place(gateway, server, now, out);
+		free_slot(gateway, server, now, out);
 }
 
 static void
-take_place(jj_gateway_t *gateway, jj_slot_server_t *server, jj_ms_t now,
+free_slot(jj_gateway_t *gateway, jj_slot_server_t *server, jj_ms_t now,
     jj_actions_t *out)
 {
 	const jj_name_t *vm;
 	jj_message_t *message;
 
-	if (jj_gateway_cut(gateway, server, "online", now, out))
+	if (jj_gateway_preempt(gateway, server, "online", now, out))
 		return;
 	vm = jj_slots_ask_to_yield(server);
 	if (vm == NULL)
@@ -443,11 +462,12 @@
 }
 
 /**
- * Guards against places that nobody has told of: after a cut, a loss of power
- * or a start VMs do not hear each other yet, each counts the servers' places
- * for itself, and online requests wait behind the others' items. How long a
- * first event takes is a sign that needs no message. An item takes longer
- * with each try, so that a long prompt comes through.
+ * Guards against slots that are taken by requests of VMs that have not reported
+ * them: after a network cut, a power loss or a start, VMs do not exchange
+ * heartbeats yet, each counts the servers' slots for itself, and online
+ * requests wait behind the others' items. The time until a first event shows
+ * this without any message. The limit doubles for an item with each try, so
+ * that an item with a long prompt gets through.
  */
 static void
 note_crowded(jj_gateway_t *gateway, jj_gateway_entry_t *entry, jj_ms_t now,
@@ -463,30 +483,30 @@
 	    server->online, server->batch, server->others_online,
 	    server->others_batch, server->info.slots);
 	if (entry->class_of == JJ_CLASS_ONLINE) {
-		take_place(gateway, server, now, out);
+		free_slot(gateway, server, now, out);
 		return;
 	}
 	entry->crowded_tries++;
-	jj_gateway_cut_item(gateway, entry, "crowded", now, out);
+	jj_gateway_preempt_item(gateway, entry, "crowded", now, out);
 }
 
 static void
-take_sign(jj_gateway_t *gateway, jj_gateway_entry_t *entry,
+take_progress(jj_gateway_t *gateway, jj_gateway_entry_t *entry,
     const jj_backend_event_t *event, jj_ms_t now)
 {
 	(void)gateway;
-	entry->sign_ms = now;
+	entry->last_event_ms = now;
 	if (event->kind != JJ_BACKEND_FIRST || entry->first_seen)
 		return;
 	entry->first_seen = true;
-	entry->began_ms = now;
+	entry->attempt_first_ms = now;
 	if (entry->first_ms == 0)
 		entry->first_ms = now;
 	entry->may_have_run = true;
 	jj_slots_note_first(entry->server, now - entry->sent_ms, now);
 }
 
-/** A whole answer, relayed already; or an item's. */
+/** Ends a request whose whole answer was relayed, or an item. */
 static void
 take_end(jj_gateway_t *gateway, jj_gateway_entry_t *entry,
     const jj_backend_event_t *event, int status, jj_bytes_t *text, jj_ms_t now,
@@ -499,7 +519,7 @@
 	if (event->kind == JJ_BACKEND_DONE)
 		jj_quarantine_clear(gateway->quarantine, entry->fingerprint);
 	if (entry->class_of == JJ_CLASS_ONLINE)
-		note_hold(gateway, entry, now);
+		note_service_time(gateway, entry, now);
 	log_end(entry, event->kind == JJ_BACKEND_DONE ? "done" : "rejected",
 	    now, out);
 	if (entry->class_of == JJ_CLASS_BATCH) {
@@ -517,15 +537,20 @@
 	jj_gateway_free_entry(gateway, entry);
 }
 
-/** Without the wait for its place, where its first event shows that. */
+/**
+ * Records the service time, without the wait for a slot if a first event shows
+ * when that ended.
+ */
 static void
-note_hold(jj_gateway_t *gateway, const jj_gateway_entry_t *entry, jj_ms_t now)
+note_service_time(
+    jj_gateway_t *gateway, const jj_gateway_entry_t *entry, jj_ms_t now)
 {
-	jj_ms_t since = entry->first_seen ? entry->began_ms : entry->sent_ms;
+	jj_ms_t since =
+	    entry->first_seen ? entry->attempt_first_ms : entry->sent_ms;
 
 	jj_slots_note_hold(entry->server, now - since);
-	gateway->mean_ms +=
-	    MEAN_SHARE * ((double)(now - since) - gateway->mean_ms);
+	gateway->mean_service_ms +=
+	    MEAN_WEIGHT * ((double)(now - since) - gateway->mean_service_ms);
 }
 
 static void
@@ -538,7 +563,7 @@
 	    event->kind == JJ_BACKEND_LEAVING;
 
 	if (was_sent)
-		entry->sent++;
+		entry->sent_attempts++;
 	if (!not_run)
 		entry->may_have_run = true;
 	if (event->kind == JJ_BACKEND_BROKEN)
@@ -554,25 +579,25 @@
 	    (long long)(now - entry->sent_ms));
 	jj_gateway_leave_server(gateway, entry);
 	if (entry->class_of == JJ_CLASS_BATCH) {
-		entry->rest_until_ms =
+		entry->not_before_ms =
 		    not_run ? now : now + gateway->settings.retry_after_ms;
 		TAILQ_REMOVE(&gateway->waiting, entry, link);
-		jj_gateway_wait(gateway, entry);
+		jj_gateway_add_waiting_item(gateway, entry);
 		return;
 	}
 	if (not_run || entry->repeatable)
-		try_again(gateway, entry, now, out);
+		retry(gateway, entry, now, out);
 	else
 		jj_gateway_give_up(gateway, entry, JJ_GIVE_UP_BROKEN, out);
 }
 
 static void
-try_again(jj_gateway_t *gateway, jj_gateway_entry_t *entry, jj_ms_t now,
+retry(jj_gateway_t *gateway, jj_gateway_entry_t *entry, jj_ms_t now,
     jj_actions_t *out)
 {
-	if (entry->sent >= entry->attempts_most ||
+	if (entry->sent_attempts >= entry->max_attempts ||
 	    entry->tries >=
-		entry->attempts_most + gateway->settings.connect_tries) {
+		entry->max_attempts + gateway->settings.connect_tries) {
 		jj_gateway_give_up(gateway, entry,
 		    entry->may_have_run ? JJ_GIVE_UP_RETRIES
 					: JJ_GIVE_UP_OVERLOADED,
@@ -584,7 +609,7 @@
 		jj_gateway_give_up(gateway, entry, JJ_GIVE_UP_QUARANTINED, out);
 		return;
 	}
-	jj_gateway_place(gateway, entry, now, out);
+	jj_gateway_dispatch(gateway, entry, now, out);
 }
 
 static void
@@ -597,12 +622,12 @@
 		    entry->server, event->retry_after_ms, now);
 		break;
 	case JJ_BACKEND_LEAVING:
-		/* Another process has the address now. */
+		/* Another process uses the address now. */
 		entry->server->info.draining = true;
 		break;
 	case JJ_BACKEND_NOT_SENT:
 		if (jj_slots_note_failure(entry->server, now))
-			jj_gateway_tell_unreachable(gateway, entry->server);
+			jj_gateway_notify_unreachable(gateway, entry->server);
 		break;
 	case JJ_BACKEND_BROKEN:
 		(void)jj_slots_note_failure(entry->server, now);
@@ -612,9 +637,10 @@
 	}
 }
 
-/** Stops the attempt at its server. */
+/** Cancels the attempt at its server. */
 static void
-cut_off(jj_gateway_t *gateway, jj_gateway_entry_t *entry, jj_actions_t *out)
+cancel_attempt(
+    jj_gateway_t *gateway, jj_gateway_entry_t *entry, jj_actions_t *out)
 {
 	jj_action_t *action;
 
@@ -642,19 +668,19 @@
 }
 
 /**
- * When a refused caller may find a place. Of a full fleet about as many places
- * come free in the time that a request holds one as there are; callers that
- * come back sooner only meet the same queue, and those that come back all at
- * once fill it again, so their times are spread over as long again.
+ * Retry delay of a refused caller. In a full fleet about as many slots become
+ * free within the mean service time as there are slots. Callers that retry
+ * sooner meet the same queue, and callers that retry all at once fill it again,
+ * so the delays are spread between once and twice the mean service time.
  */
 static jj_ms_t
-come_back_ms(jj_gateway_t *gateway, jj_give_up_t reason)
+choose_retry_after_ms(jj_gateway_t *gateway, jj_give_up_t reason)
 {
-	jj_ms_t least = gateway->settings.retry_after_ms;
-	jj_ms_t mean = (jj_ms_t)gateway->mean_ms;
+	jj_ms_t min_ms = gateway->settings.retry_after_ms;
+	jj_ms_t mean = (jj_ms_t)gateway->mean_service_ms;
 
-	if (reason != JJ_GIVE_UP_OVERLOADED || mean < least)
-		return least;
+	if (reason != JJ_GIVE_UP_OVERLOADED || mean < min_ms)
+		return min_ms;
 	return mean + (jj_ms_t)(jj_gateway_random(gateway) % (uint64_t)mean);
 }
 
--- a/src/core/gateway_servers.c
+++ b/src/core/gateway_servers.c
@@ -1,17 +1,17 @@
 /**
  * @file gateway_servers.c
- * @brief The platform's list of servers, and processes that start again.
+ * @brief The platform's list of servers, and server processes that restart.
  */
 #include <stdio.h>
 
 #include "core/gateway_state.h"
 
 /**
- * The clocks of two VMs that are looked after differ by less, ms. A start
- * later than that is nobody's: taken for true, it would make each true one
- * that follows an old one.
+ * The clocks of two healthy VMs differ by less than this, ms. An entry with a
+ * later start time is invalid: if it were accepted, each correct one would look
+ * like that of an earlier process.
  */
-#define CLOCKS_DIFFER_MS 60000
+#define CLOCK_SKEW_MAX_MS 60000
 
 static const char *read_entry(jj_gateway_t *, const jj_platform_item_t *,
     jj_slot_info_t *, char *, size_t);
@@ -27,10 +27,10 @@
 }
 
 /**
- * Guards against entries of other writers: one that can't be read, or that
- * says what no server says, names none to use. If a process was known by that
- * id it takes no new work until an entry of its own stands there again; what
- * it runs goes on.
+ * Guards against entries of other writers: one that can't be read, or with
+ * values that no server writes, describes no usable server. If a process was
+ * known by that id, it gets no new requests until its own entry is back; its
+ * running requests continue.
  */
 void
 jj_gateway_take_server(void *ctx, const jj_platform_item_t *item)
@@ -88,7 +88,7 @@
 	jj_slots_tick(gateway->slots, now);
 }
 
-/** What is wrong with it, or NULL. */
+/** Returns what is wrong with the entry, or NULL. */
 static const char *
 read_entry(jj_gateway_t *gateway, const jj_platform_item_t *item,
     jj_slot_info_t *info, char *why, size_t why_size)
@@ -98,7 +98,7 @@
 	if (!gateway->port.read_server(gateway->port.ctx,
 		jj_object_name(item->key), &item->value, info, why, why_size))
 		return why;
-	if (info->started_ms <= unix_ms + CLOCKS_DIFFER_MS)
+	if (info->started_ms <= unix_ms + CLOCK_SKEW_MAX_MS)
 		return NULL;
 	(void)snprintf(why, why_size, "it starts in %lld ms",
 	    (long long)(info->started_ms - unix_ms));
--- a/src/core/gateway_vms.c
+++ b/src/core/gateway_vms.c
@@ -1,10 +1,11 @@
 /**
  * @file gateway_vms.c
- * @brief How VMs find each other, and orders to empty one.
+ * @brief How VMs find each other, and orders to retire one.
  *
- * Each VM writes one entry at the platform when it starts, and looks at the
- * list now and then; who is alive they hear from each other. The list may be
- * seconds old, which makes a look cheap: a new VM speaks first.
+ * Each VM writes one entry at the platform when it starts and reads the list at
+ * intervals; heartbeats show which VMs are live. Reads of the list may return
+ * data that is seconds old, which makes them cheap: a new VM sends the first
+ * heartbeat.
  */
 #include <inttypes.h>
 #include <stdio.h>
@@ -21,9 +22,9 @@
 #define TOKEN_REGISTER 11
 #define TOKEN_RETIRE_STATUS 12
 #define TOKEN_REMOVE 13
-/** While a VM hears no other one it looks this often, ms. */
-#define LONELY_POLL_MS 1000
-/** A list may be some seconds old: so long it may lack an entry, ms. */
+/** Interval between reads of the list while no other VM is live, ms. */
+#define ALONE_POLL_MS 1000
+/** The list may lag: it may lack a new entry for so long, ms. */
 #define LIST_LAG_MS 30000
 
 static void start_register(jj_gateway_t *, jj_actions_t *);
@@ -34,8 +35,8 @@
 static void take_vm(jj_gateway_t *, const jj_platform_item_t *);
 static void
 note_vm(jj_gateway_t *, const jj_name_t *, const jj_name_t *, uint64_t);
-static void begin_vms(jj_gateway_t *);
-static void end_vms(jj_gateway_t *, jj_ms_t);
+static void begin_list(jj_gateway_t *);
+static void end_list(jj_gateway_t *, jj_ms_t);
 static void remove_gone(jj_gateway_t *, jj_ms_t);
 static bool is_of_region(const jj_gateway_t *, const jj_name_t *);
 static void remove_entry(jj_gateway_t *, const jj_gateway_vm_t *, jj_ms_t);
@@ -68,7 +69,7 @@
 		if (!gateway->retired)
 			jj_mirror_set_active(
 			    &gateway->retire_mirror, false, now);
-		/* It is listed again, and answered again. */
+		/* The order is listed and answered again. */
 		if (!gateway->retired)
 			gateway->retire_mirror.listed = false;
 		return true;
@@ -111,10 +112,10 @@
 jj_gateway_list_others(const jj_gateway_t *gateway, jj_member_info_t **infos)
 {
 	const jj_gateway_settings_t *settings = &gateway->settings;
-	size_t most = jj_member_count(gateway->member) + 1;
-	jj_member_info_t *list = jj_alloc(most * sizeof(*list));
+	size_t max_count = jj_member_count(gateway->member) + 1;
+	jj_member_info_t *list = jj_alloc(max_count * sizeof(*list));
 	size_t count = jj_member_list(
-	    gateway->member, &settings->member.domain, list, most);
+	    gateway->member, &settings->member.domain, list, max_count);
 	size_t kept = 0;
 	size_t i;
 
@@ -126,14 +127,14 @@
 }
 
 bool
-jj_gateway_is_near(const jj_gateway_t *gateway, const jj_gateway_vm_t *vm)
+jj_gateway_is_local(const jj_gateway_t *gateway, const jj_gateway_vm_t *vm)
 {
 	return jj_name_equal(&vm->domain, &gateway->settings.domain) &&
 	    jj_member_is_live(gateway->member, &vm->name);
 }
 
 size_t
-jj_gateway_list_near(const jj_gateway_t *gateway, jj_member_info_t **infos)
+jj_gateway_list_local(const jj_gateway_t *gateway, jj_member_info_t **infos)
 {
 	jj_member_info_t *list =
 	    jj_alloc((gateway->vm_count + 1) * sizeof(*list));
@@ -143,7 +144,7 @@
 	for (i = 0; i < gateway->vm_count; i++) {
 		const jj_gateway_vm_t *vm = &gateway->vms[i];
 
-		if (jj_gateway_is_near(gateway, vm))
+		if (jj_gateway_is_local(gateway, vm))
 			list[count++] =
 			    *jj_member_find(gateway->member, &vm->name);
 	}
@@ -224,7 +225,7 @@
 		return;
 	}
 	gateway->next_register_ms = now + gateway->settings.backoff_most_ms;
-	/* An entry of an earlier process of this name: written over. */
+	/* An earlier process of this name wrote the entry: overwrite it. */
 	if (result->outcome == JJ_PLATFORM_CONFLICT &&
 	    result->version != gateway->register_version) {
 		gateway->register_version = result->version;
@@ -260,15 +261,15 @@
 		return;
 	}
 	if (gateway->vms_after[0] == '\0')
-		begin_vms(gateway);
+		begin_list(gateway);
 	for (i = 0; i < result->item_count; i++)
 		take_vm(gateway, &result->items[i]);
 	gateway->vms_after[0] = '\0';
 	gateway->next_vms_ms = now +
-	    (jj_gateway_is_alone(gateway) ? LONELY_POLL_MS
+	    (jj_gateway_is_alone(gateway) ? ALONE_POLL_MS
 					  : gateway->settings.vms_poll_ms);
 	if (!result->more || result->item_count == 0) {
-		end_vms(gateway, now);
+		end_list(gateway, now);
 		return;
 	}
 	gateway->next_vms_ms = now;
@@ -328,14 +329,14 @@
 	vm->name = *name;
 	vm->domain = *domain;
 	vm->listed = true;
-	/* Another process of that name has written it. */
+	/* A new process of that name wrote the entry. */
 	if (vm->version != version)
-		vm->silent_ms = JJ_MS_NEVER;
+		vm->unreachable_since_ms = JJ_MS_NEVER;
 	vm->version = version;
 }
 
 static void
-begin_vms(jj_gateway_t *gateway)
+begin_list(jj_gateway_t *gateway)
 {
 	size_t i;
 
@@ -345,13 +346,15 @@
 }
 
 static void
-end_vms(jj_gateway_t *gateway, jj_ms_t now)
+end_list(jj_gateway_t *gateway, jj_ms_t now)
 {
 	jj_gateway_vm_t *vm;
 	size_t kept = 0;
 	size_t i;
 
-	/* Others took this VM for gone: it was cut off from them for long. */
+	/*
+	 * Other VMs removed the entry: this VM was cut off from them for long.
+	 */
 	if (gateway->registered && !gateway->vms_have_self &&
 	    now - gateway->registered_ms >= LIST_LAG_MS) {
 		gateway->registered = false;
@@ -364,9 +367,9 @@
 		    jj_member_find(gateway->member, &vm->name) == NULL)
 			continue;
 		if (jj_member_is_live(gateway->member, &vm->name))
-			vm->silent_ms = JJ_MS_NEVER;
-		else if (vm->silent_ms == JJ_MS_NEVER)
-			vm->silent_ms = now;
+			vm->unreachable_since_ms = JJ_MS_NEVER;
+		else if (vm->unreachable_since_ms == JJ_MS_NEVER)
+			vm->unreachable_since_ms = now;
 		gateway->vms[kept++] = *vm;
 	}
 	gateway->vm_count = kept;
@@ -374,9 +377,9 @@
 }
 
 /**
- * Guards against entries of all VMs that ever were. The speaker of the region
- * removes one at a time, on the version that it has seen: a VM that starts
- * again writes a new one.
+ * Guards against a list that keeps the entries of all VMs that ever existed.
+ * The speaker of the region removes one at a time, on the condition that its
+ * version is unchanged: a VM that restarts writes a new one.
  */
 static void
 remove_gone(jj_gateway_t *gateway, jj_ms_t now)
@@ -389,8 +392,9 @@
 	for (i = 0; i < gateway->vm_count; i++) {
 		const jj_gateway_vm_t *vm = &gateway->vms[i];
 
-		if (!vm->listed || vm->silent_ms == JJ_MS_NEVER ||
-		    now - vm->silent_ms < gateway->settings.member.forget_ms ||
+		if (!vm->listed || vm->unreachable_since_ms == JJ_MS_NEVER ||
+		    now - vm->unreachable_since_ms <
+			gateway->settings.member.forget_ms ||
 		    !is_of_region(gateway, &vm->name))
 			continue;
 		remove_entry(gateway, vm, now);
@@ -398,7 +402,10 @@
 	}
 }
 
-/** Of other regions only the speakers are heard. */
+/**
+ * True for a VM of this region; of other regions only the speakers send
+ * heartbeats.
+ */
 static bool
 is_of_region(const jj_gateway_t *gateway, const jj_name_t *name)
 {
@@ -415,7 +422,7 @@
 
 	jj_actions_add_event(gateway->out, "vm_entry_removed",
 	    "peer=%s version=%" PRIu64 " silent_ms=%lld", vm->name.text,
-	    vm->version, (long long)(now - vm->silent_ms));
+	    vm->version, (long long)(now - vm->unreachable_since_ms));
 	call = jj_actions_add_platform(
 	    gateway->out, JJ_OWNER_GATEWAY, JJ_PLATFORM_DELETE, TOKEN_REMOVE);
 	(void)snprintf(
--- a/src/core/member.c
+++ b/src/core/member.c
@@ -1,6 +1,7 @@
 /**
  * @file member.c
- * @brief The view of live VMs: whom to listen to, and who fell silent.
+ * @brief Which VMs are live: whose messages are accepted, and who has become
+ * unreachable.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -8,10 +9,13 @@
 
 #include "core/member_state.h"
 
-/** A gap between ticks this many heartbeats long was a pause of ours. */
+/**
+ * A gap between ticks of this many heartbeat intervals was a pause of this
+ * process.
+ */
 #define PAUSE_ROUNDS 2
-/** VMs that there is room for at first. */
-#define PEERS_FIRST 64
+/** Initial capacity of the table of VMs. */
+#define PEERS_INITIAL 64
 
 static jj_peer_t *find_peer(const jj_member_t *, const jj_name_t *);
 static jj_peer_t *
@@ -22,15 +26,16 @@
     jj_member_t *, jj_peer_t *, const jj_message_t *, jj_ms_t, jj_actions_t *);
 static void take_echo(
     jj_member_t *, jj_peer_t *, const jj_message_t *, jj_ms_t, jj_actions_t *);
-static bool is_sign(const jj_member_t *, const jj_peer_t *, jj_ms_t, jj_ms_t);
+static bool
+is_sign_of_life(const jj_member_t *, const jj_peer_t *, jj_ms_t, jj_ms_t);
 static bool is_newer(const jj_peer_t *, jj_ms_t);
 static void
-note_heard(jj_peer_t *, const char *, jj_ms_t, jj_ms_t, jj_actions_t *);
-static void tell_silence(const jj_peer_t *, jj_ms_t, jj_actions_t *);
-static void begin_watch(jj_peer_t *);
-static void note_gap(jj_member_t *, jj_ms_t);
-static void excuse_pause(jj_member_t *, jj_ms_t);
-static void judge_silence(jj_member_t *, jj_ms_t, jj_actions_t *);
+note_sign_of_life(jj_peer_t *, const char *, jj_ms_t, jj_ms_t, jj_actions_t *);
+static void log_silence(const jj_peer_t *, jj_ms_t, jj_actions_t *);
+static void reset_stats(jj_peer_t *);
+static void note_tick_gap(jj_member_t *, jj_ms_t);
+static void discount_pause(jj_member_t *, jj_ms_t);
+static void check_silence(jj_member_t *, jj_ms_t, jj_actions_t *);
 
 jj_member_t *
 jj_member_create(const jj_member_settings_t *settings)
@@ -71,7 +76,9 @@
 	if (jj_name_equal(name, &member->self.name))
 		return;
 	peer = find_peer(member, name);
-	/* The platform's list lags: what a live VM says of itself goes first.
+	/*
+	 * The platform's list lags: what a live VM reports itself takes
+	 * priority.
 	 */
 	if (peer != NULL && peer->info.live)
 		return;
@@ -107,17 +114,21 @@
 		take_echo(member, peer, message, now, out);
 		return false;
 	}
-	/* A VM was replaced by one of the same name: late messages of the old
-	 * process would count for the new one, a granted intent for instance.
-	 * Only the incarnation that answered a probe is listened to; a dead
-	 * process cannot answer one. */
+	/*
+	 * When a VM was replaced by one of the same name, late messages of the
+	 * old process would count for the new one, such as a granted intent.
+	 * Only the incarnation that answered a probe is accepted; an ended
+	 * process cannot answer one.
+	 */
 	if (message->incarnation != peer->info.incarnation) {
 		jj_member_send_probe(member, peer, now, out);
 		return false;
 	}
-	/* A repeated or reordered message brings back old news, such as loads
-	 * or a leaving state that ended. Each connection keeps the order, so
-	 * what does not rise is stale. */
+	/*
+	 * A repeated or reordered message would restore outdated information,
+	 * such as loads or a leaving state that ended. Each connection keeps
+	 * the order, so a sequence that does not increase is stale.
+	 */
 	if (message->sequence <= peer->sequence)
 		return false;
 	peer->sequence = message->sequence;
@@ -145,10 +156,10 @@
 void
 jj_member_tick(jj_member_t *member, jj_ms_t now, jj_actions_t *out)
 {
-	note_gap(member, now);
-	excuse_pause(member, now);
+	note_tick_gap(member, now);
+	discount_pause(member, now);
 	member->ticked_ms = now;
-	judge_silence(member, now, out);
+	check_silence(member, now, out);
 	if (now < member->next_ms)
 		return;
 	member->next_ms = now + member->settings.heartbeat_ms;
@@ -165,7 +176,7 @@
 jj_member_set_state(jj_member_t *member, jj_vm_state_t state)
 {
 	member->self.state = state;
-	/* Neighbours shall hear of a planned stop at once. */
+	/* Notifies neighbours of a planned stop at once. */
 	member->next_ms = 0;
 }
 
@@ -268,9 +279,9 @@
 	for (i = 0; i < member->peer_count; i++) {
 		jj_peer_t *peer = &member->peers[i];
 
-		if (!peer->arrived)
+		if (!peer->arrival_pending)
 			continue;
-		peer->arrived = false;
+		peer->arrival_pending = false;
 		*name = peer->info.name;
 		return true;
 	}
@@ -402,10 +413,11 @@
 	jj_peer_t *peer;
 	size_t at = 0;
 
-	if (member->peer_count == member->peer_room) {
-		member->peer_room = 2 * member->peer_room + PEERS_FIRST;
-		member->peers = jj_realloc(
-		    member->peers, member->peer_room * sizeof(*member->peers));
+	if (member->peer_count == member->peer_capacity) {
+		member->peer_capacity =
+		    2 * member->peer_capacity + PEERS_INITIAL;
+		member->peers = jj_realloc(member->peers,
+		    member->peer_capacity * sizeof(*member->peers));
 	}
 	for (; at < member->peer_count; at++) {
 		const jj_member_info_t *info = &member->peers[at].info;
@@ -424,9 +436,9 @@
 	peer->info.domain = *domain;
 	peer->info.heard_ms = JJ_MS_NEVER;
 	peer->probed_ms = JJ_MS_NEVER;
-	peer->known_ms = JJ_MS_NEVER;
+	peer->last_contact_ms = JJ_MS_NEVER;
 	peer->acked_ms = JJ_MS_NEVER;
-	begin_watch(peer);
+	reset_stats(peer);
 	(void)snprintf(
 	    peer->info.address, sizeof(peer->info.address), "%s", address);
 	return peer;
@@ -441,8 +453,10 @@
 	memmove(peer, peer + 1, (member->peer_count - at) * sizeof(*peer));
 }
 
-/* Heartbeats carry domain and address, so that a VM the platform's list does
- * not show yet (or no longer) can be probed. */
+/*
+ * Heartbeats carry domain and address, so that a VM that the platform's list
+ * does not contain yet (or no longer) can be probed.
+ */
 static jj_peer_t *
 learn_sender(jj_member_t *member, const jj_message_t *message)
 {
@@ -461,35 +475,37 @@
 	peer->info.state = heartbeat->state;
 	peer->info.config_version = heartbeat->config_version;
 	peer->info.slots_version = heartbeat->slots_version;
-	if (is_sign(member, peer, written, now)) {
+	if (is_sign_of_life(member, peer, written, now)) {
 		if (is_newer(peer, written))
 			peer->acked_ms = written;
-		note_heard(peer, "heartbeat", peer->acked_ms, now, out);
+		note_sign_of_life(peer, "heartbeat", peer->acked_ms, now, out);
 	} else {
-		peer->watch.uncounted++;
+		peer->log_stats.ignored_heartbeats++;
 		jj_member_send_probe(member, peer, now, out);
 	}
-	peer->watch.came_ms = now;
+	peer->log_stats.last_heartbeat_ms = now;
 	return peer->info.live;
 }
 
 /*
- * By when what a heartbeat acknowledges was written, JJ_MS_NEVER: not known.
+ * True when a heartbeat counts as a sign of life.
+ * @param written when the message that it acknowledges was sent, JJ_MS_NEVER:
+ * not known.
  *
- * ZeroMQ delivers a dead VM's queued heartbeats after a reconnect, all with
- * rising sequences: the dead would be taken for live and given work. A queued
- * heartbeat cannot acknowledge what was sent after it, so a VM that is silent
- * is revived by a fresh acknowledgement only.
+ * ZeroMQ delivers the queued heartbeats of a failed VM after a reconnect, all
+ * with rising sequences: the failed VM would be taken as live and given work. A
+ * queued heartbeat cannot acknowledge a message that was sent after it, so an
+ * unreachable VM becomes live only by a fresh acknowledgement.
  *
- * A VM that is live is another matter: under load each round trip takes a
- * little longer than suspect_ms, and VMs that go on sending would call each
- * other silent, take each other's work and refuse each other's calls. There
- * an acknowledgement of something newer is a sign: a one-way cut stops it,
- * and a dead VM's queue ends.
+ * For a live VM this rule is too strict: under load each round trip takes a
+ * little longer than suspect_ms, and VMs that still send heartbeats would
+ * suspect each other, take over each other's work and refuse each other's
+ * calls. For a live VM an acknowledgement of something newer is enough: a
+ * one-way cut stops it, and the queue of a failed VM ends.
  */
 static bool
-is_sign(const jj_member_t *member, const jj_peer_t *peer, jj_ms_t written,
-    jj_ms_t now)
+is_sign_of_life(const jj_member_t *member, const jj_peer_t *peer,
+    jj_ms_t written, jj_ms_t now)
 {
 	if (written == JJ_MS_NEVER)
 		return false;
@@ -509,10 +525,10 @@
 take_echo(jj_member_t *member, jj_peer_t *peer, const jj_message_t *message,
     jj_ms_t now, jj_actions_t *out)
 {
-	/* An echo that comes late shows only that its sender lived then. */
+	/* A late echo shows only that its sender was live at that time. */
 	if (peer->nonce == 0 || message->body.nonce != peer->nonce ||
 	    now - peer->probed_ms > member->settings.suspect_ms) {
-		peer->watch.late_echoes++;
+		peer->log_stats.late_echoes++;
 		return;
 	}
 	peer->nonce = 0;
@@ -523,7 +539,7 @@
 		    (unsigned long long)message->incarnation,
 		    (unsigned long long)peer->info.incarnation);
 		peer->info.incarnation = message->incarnation;
-		peer->arrived = true;
+		peer->arrival_pending = true;
 		peer->info.state = JJ_VM_STARTING;
 		peer->info.config_version = 0;
 		peer->info.slots_version = 0;
@@ -532,12 +548,16 @@
 	}
 	if (message->sequence > peer->sequence)
 		peer->sequence = message->sequence;
-	note_heard(peer, "echo", peer->probed_ms, now, out);
+	note_sign_of_life(peer, "echo", peer->probed_ms, now, out);
 }
 
-/** @param asked when this process sent what the sign of life answers. */
+/**
+ * Notes a sign of life.
+ * @param asked when this process sent the message that the sign of life
+ * answers.
+ */
 static void
-note_heard(jj_peer_t *peer, const char *sign, jj_ms_t asked, jj_ms_t now,
+note_sign_of_life(jj_peer_t *peer, const char *sign, jj_ms_t asked, jj_ms_t now,
     jj_actions_t *out)
 {
 	if (!peer->info.live)
@@ -546,23 +566,24 @@
 		    "heard_ms_ago=%lld uncounted=%u probes=%u late_echoes=%u",
 		    peer->info.name.text, peer->info.domain.text, sign,
 		    jj_ms_ago(asked, now), jj_ms_ago(peer->info.heard_ms, now),
-		    peer->watch.uncounted, peer->watch.probes,
-		    peer->watch.late_echoes);
+		    peer->log_stats.ignored_heartbeats, peer->log_stats.probes,
+		    peer->log_stats.late_echoes);
 	peer->info.heard_ms = now;
-	peer->known_ms = now;
-	begin_watch(peer);
+	peer->last_contact_ms = now;
+	reset_stats(peer);
 	if (peer->info.live)
 		return;
 	peer->info.live = true;
-	peer->arrived = true;
+	peer->arrival_pending = true;
 }
 
 /*
- * What tells a VM that is gone (nothing came) from one whose messages wait
- * (they came, acknowledging old ones) and from a pause of this process.
+ * The logged figures tell apart a VM that is gone (no heartbeat came), one
+ * whose messages are delayed (heartbeats came that acknowledge old messages)
+ * and a pause of this process.
  */
 static void
-tell_silence(const jj_peer_t *peer, jj_ms_t now, jj_actions_t *out)
+log_silence(const jj_peer_t *peer, jj_ms_t now, jj_actions_t *out)
 {
 	jj_actions_add_event(out, "vm_silent",
 	    "peer=%s domain=%s heard_ms_ago=%lld came_ms_ago=%lld "
@@ -570,19 +591,20 @@
 	    "own_gap_ms=%lld",
 	    peer->info.name.text, peer->info.domain.text,
 	    jj_ms_ago(peer->info.heard_ms, now),
-	    jj_ms_ago(peer->watch.came_ms, now), jj_ms_ago(peer->acked_ms, now),
-	    peer->watch.uncounted, peer->watch.probes, peer->watch.late_echoes,
-	    (long long)peer->watch.gap_ms);
+	    jj_ms_ago(peer->log_stats.last_heartbeat_ms, now),
+	    jj_ms_ago(peer->acked_ms, now), peer->log_stats.ignored_heartbeats,
+	    peer->log_stats.probes, peer->log_stats.late_echoes,
+	    (long long)peer->log_stats.gap_ms);
 }
 
 static void
-begin_watch(jj_peer_t *peer)
+reset_stats(jj_peer_t *peer)
 {
-	peer->watch = (jj_peer_watch_t){.came_ms = JJ_MS_NEVER};
+	peer->log_stats = (jj_peer_stats_t){.last_heartbeat_ms = JJ_MS_NEVER};
 }
 
 static void
-note_gap(jj_member_t *member, jj_ms_t now)
+note_tick_gap(jj_member_t *member, jj_ms_t now)
 {
 	jj_ms_t gap;
 	size_t i;
@@ -591,15 +613,18 @@
 		return;
 	gap = now - member->ticked_ms;
 	for (i = 0; i < member->peer_count; i++)
-		if (member->peers[i].watch.gap_ms < gap)
-			member->peers[i].watch.gap_ms = gap;
+		if (member->peers[i].log_stats.gap_ms < gap)
+			member->peers[i].log_stats.gap_ms = gap;
 }
 
-/* A process that was frozen heard nobody meanwhile. When it wakes all others
- * would look dead at once and their work would be taken over. The pause is
- * not counted as their silence: they have suspect_ms to be heard again. */
+/*
+ * A process that was paused received nothing meanwhile. When it resumes, all
+ * others would seem failed at once and their work would be taken over. So the
+ * pause does not count against them: they have suspect_ms to send a sign of
+ * life.
+ */
 static void
-excuse_pause(jj_member_t *member, jj_ms_t now)
+discount_pause(jj_member_t *member, jj_ms_t now)
 {
 	jj_ms_t usual = PAUSE_ROUNDS * member->settings.heartbeat_ms;
 	jj_ms_t gap;
@@ -619,22 +644,22 @@
 }
 
 static void
-judge_silence(jj_member_t *member, jj_ms_t now, jj_actions_t *out)
+check_silence(jj_member_t *member, jj_ms_t now, jj_actions_t *out)
 {
 	size_t i;
 
 	for (i = member->peer_count; i-- > 0;) {
 		jj_peer_t *peer = &member->peers[i];
 
-		if (peer->known_ms == JJ_MS_NEVER)
-			peer->known_ms = now;
+		if (peer->last_contact_ms == JJ_MS_NEVER)
+			peer->last_contact_ms = now;
 		if (peer->info.live &&
 		    now - peer->info.heard_ms >= member->settings.suspect_ms) {
 			peer->info.live = false;
-			tell_silence(peer, now, out);
+			log_silence(peer, now, out);
 		}
 		if (!peer->info.live &&
-		    now - peer->known_ms >= member->settings.forget_ms)
+		    now - peer->last_contact_ms >= member->settings.forget_ms)
 			remove_peer(member, i);
 	}
 }
--- a/src/core/member_signal.c
+++ b/src/core/member_signal.c
@@ -1,12 +1,15 @@
 /**
  * @file member_signal.c
- * @brief The signs of life a VM sends: heartbeats, probes and echoes.
+ * @brief The signs of life that a VM sends: heartbeats, probes and echoes.
  */
 #include <string.h>
 
 #include "core/member_state.h"
 
-/** A remote speaker silent for so many rounds is probed. */
+/**
+ * The speaker of another domain is probed after so many intervals without a
+ * heartbeat.
+ */
 #define PROBE_AFTER_ROUNDS 2
 
 static void begin_probe(jj_member_t *, jj_peer_t *, jj_ms_t);
@@ -28,7 +31,7 @@
 	if (peer->nonce == 0 ||
 	    now - peer->probed_ms > member->settings.suspect_ms)
 		begin_probe(member, peer, now);
-	peer->watch.probes++;
+	peer->log_stats.probes++;
 	message =
 	    jj_actions_add_message(out, &peer->info.name, JJ_MESSAGE_PROBE);
 	message->body.nonce = peer->nonce;
@@ -68,7 +71,7 @@
 {
 	uint64_t i;
 
-	/* An acknowledgement of what an earlier process of this VM sent. */
+	/* It acknowledges a message of an earlier process of this VM. */
 	if (ack > member->sequence)
 		return JJ_MS_NEVER;
 	for (i = 0; i < JJ_MEMBER_ROUNDS_MAX && i < member->round_count; i++) {
@@ -83,10 +86,10 @@
 }
 
 /*
- * Guards against a new nonce with each probe: an echo that is under way for
- * longer than heartbeat_ms would always answer the one before, and a VM that
- * a loaded link delays would never be heard again. The time of the first
- * sending holds, so that an echo shows no more life than it proves.
+ * Guards against a new nonce with each probe: an echo in transit for longer
+ * than heartbeat_ms would always answer the probe before, and a VM behind a
+ * slow link would never become live again. The time of the first probe with a
+ * nonce counts, as the echo proves no later sign of life.
  */
 static void
 begin_probe(jj_member_t *member, jj_peer_t *peer, jj_ms_t now)
@@ -114,7 +117,9 @@
 	heartbeat->config_version = member->self.config_version;
 	heartbeat->slots_version = member->self.slots_version;
 	heartbeat->ack_sequence = peer->sequence;
-	/* Loads decide about the own domain's servers only. */
+	/*
+	 * Loads only influence the choice among servers of the VM's own domain.
+	 */
 	if (member->load_count == 0 ||
 	    !jj_name_equal(&peer->info.domain, &member->self.domain))
 		return;
@@ -143,15 +148,18 @@
 	}
 }
 
-/* One VM of another domain is sent heartbeats: its live VM with the smallest
- * name; while none is live its VMs are tried in turn, each for suspect_ms, so
- * that a dead speaker does not cut its whole domain off. */
+/*
+ * Sends heartbeats to one VM of another domain: its live VM with the smallest
+ * name. While none is live its VMs are tried in rotation, each for suspect_ms,
+ * so that a failed speaker does not cut off its whole domain.
+ */
 static void
 send_to_domain(jj_member_t *member, size_t start, size_t end, jj_ms_t now,
     jj_actions_t *out)
 {
-	size_t turn = (size_t)(now / member->settings.suspect_ms);
-	jj_ms_t quiet = PROBE_AFTER_ROUNDS * member->settings.heartbeat_ms;
+	size_t rotation = (size_t)(now / member->settings.suspect_ms);
+	jj_ms_t probe_after_ms =
+	    PROBE_AFTER_ROUNDS * member->settings.heartbeat_ms;
 	size_t speaker = start;
 	const jj_member_info_t *info;
 
@@ -159,17 +167,24 @@
 	while (speaker < end &&
 	    !jj_member_is_serving(&member->peers[speaker].info))
 		speaker++;
-	/* The two domains must not settle on pairs that differ: their true
-	 * speaker is perhaps one before, not heard of yet. */
+	/*
+	 * The two domains must not settle on different pairs of speakers: the
+	 * true speaker of the other domain may be a VM with a smaller name that
+	 * is not known as live yet.
+	 */
 	if (speaker > start && speaker < end)
 		jj_member_send_probe(member,
-		    &member->peers[start + turn % (speaker - start)], now, out);
+		    &member->peers[start + rotation % (speaker - start)], now,
+		    out);
 	if (speaker == end)
-		speaker = start + turn % (end - start);
+		speaker = start + rotation % (end - start);
 	send_heartbeat(member, &member->peers[speaker], out);
-	/* It may not take us for our domain's speaker and then sends no
-	 * heartbeats; a probe shows that it lives all the same. */
+	/*
+	 * That VM may not know this one as its domain's speaker and then sends
+	 * no heartbeats; a probe shows that it is live all the same.
+	 */
 	info = &member->peers[speaker].info;
-	if (info->heard_ms == JJ_MS_NEVER || now - info->heard_ms >= quiet)
+	if (info->heard_ms == JJ_MS_NEVER ||
+	    now - info->heard_ms >= probe_after_ms)
 		jj_member_send_probe(member, &member->peers[speaker], now, out);
 }
--- a/src/core/member_state.h
+++ b/src/core/member_state.h
@@ -1,42 +1,55 @@
 /**
  * @file member_state.h
- * @brief What member.c and member_signal.c share; private to them.
+ * @brief Private state and functions that member.c and member_signal.c share.
  */
 #ifndef JJ_CORE_MEMBER_STATE_H
 #define JJ_CORE_MEMBER_STATE_H
 
 #include "core/member.h"
 
-/** Rounds of heartbeats whose sequence and time are kept. */
+/** Number of heartbeat rounds whose sequence and time are kept. */
 #define JJ_MEMBER_ROUNDS_MAX 128
 
-/** First sequence of a round of heartbeats, and when it was sent. */
+/** First sequence of a heartbeat round, and when it was sent. */
 typedef struct {
 	uint64_t sequence;
 	jj_ms_t sent_ms;
 } jj_round_t;
 
-/** What came of a VM since its last sign of life; for its log lines. */
+/** Counts since a VM's last sign of life, for log lines. */
 typedef struct {
-	uint32_t uncounted; /**< heartbeats that were no sign of life */
-	jj_ms_t came_ms; /**< when the last heartbeat came, JJ_MS_NEVER: none */
-	uint32_t probes; /**< sent */
-	uint32_t late_echoes; /**< of probes that were given up */
-	jj_ms_t gap_ms; /**< longest between two ticks of this process */
-} jj_peer_watch_t;
+	/** heartbeats that did not count as a sign of life */
+	uint32_t ignored_heartbeats;
+	/** time of the last heartbeat, JJ_MS_NEVER: none */
+	jj_ms_t last_heartbeat_ms;
+	uint32_t probes; /**< probes sent to it */
+	uint32_t late_echoes; /**< echoes of probes that had timed out */
+	jj_ms_t gap_ms; /**< longest gap between two ticks of this process */
+} jj_peer_stats_t;
 
-/** A VM with what only this module needs. */
+/** A VM with the private state of this module. */
 typedef struct {
 	jj_member_info_t info;
-	uint64_t sequence; /**< highest accepted of that incarnation */
-	uint64_t nonce; /**< of the probe under way, 0: none */
+	/** highest sequence accepted from its incarnation */
+	uint64_t sequence;
+	uint64_t nonce; /**< nonce of the current probe, 0: none */
 	jj_ms_t probed_ms; /**< when that nonce was first sent */
-	jj_ms_t next_probe_ms; /**< not before */
-	jj_ms_t known_ms; /**< last sign of any kind; for forget_ms */
-	/** When what it acknowledged last was sent; JJ_MS_NEVER: nothing. */
+	jj_ms_t next_probe_ms; /**< no probe is sent before */
+	/**
+	 * last sign of life, or first tick since it was added; for forget_ms
+	 */
+	jj_ms_t last_contact_ms;
+	/**
+	 * When the message that it acknowledged last was sent; JJ_MS_NEVER:
+	 * none.
+	 */
 	jj_ms_t acked_ms;
-	jj_peer_watch_t watch;
-	bool arrived; /**< became live, or anew; not taken yet */
+	jj_peer_stats_t log_stats;
+	/**
+	 * became live or restarted, and not yet returned by
+	 * jj_member_take_arrival()
+	 */
+	bool arrival_pending;
 } jj_peer_t;
 
 struct jj_member {
@@ -51,20 +64,25 @@
 	uint32_t load_count;
 	jj_load_t *loads; /**< owned */
 	size_t peer_count;
-	size_t peer_room; /**< that fit */
+	size_t peer_capacity; /**< that fit into the array */
 	jj_peer_t *peers; /**< owned; ordered by domain and name */
 };
 
 /** True when the VM may be given work: live and not leaving. */
 bool jj_member_is_serving(const jj_member_info_t *info);
 
-/** Sends a round of heartbeats, to other domains when this VM speaks. */
+/**
+ * Sends a round of heartbeats, also to other domains when this VM is the
+ * speaker.
+ */
 void jj_member_send_round(jj_member_t *member, jj_ms_t now, jj_actions_t *out);
-/** Probes a VM, at most once per heartbeat_ms. While an echo may still come
- * in time the same nonce is sent again. */
+/**
+ * Probes a VM, at most once per heartbeat_ms. The same nonce is sent again
+ * while an echo may still come in time.
+ */
 void jj_member_send_probe(
     jj_member_t *member, jj_peer_t *peer, jj_ms_t now, jj_actions_t *out);
-/** Answers a probe by its nonce. */
+/** Echoes the nonce of a probe. */
 void jj_member_send_echo(const jj_message_t *probe, jj_actions_t *out);
 
 #endif
--- a/src/core/route.c
+++ b/src/core/route.c
@@ -1,6 +1,6 @@
 /**
  * @file route.c
- * @brief Routes: which service answers a host and a path, and on what terms.
+ * @brief Routes: which service answers a host and a path, under which limits.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -10,10 +10,10 @@
 
 #include "core/route.h"
 
-/** Multiplier of the hash of a host, the one of FNV. */
+/** Multiplier of the hash of a host: the 64-bit FNV prime. */
 #define HASH_FACTOR UINT64_C(0x100000001b3)
-/** Slots of the index for each route, at least. */
-#define INDEX_ROOM 2
+/** Minimum number of index slots for each route. */
+#define INDEX_SLOTS_PER_ROUTE 2
 
 static uint64_t hash_key(const char *, const char *, size_t);
 static const jj_route_t *
@@ -26,10 +26,11 @@
 	jj_route_t *copy;
 	uint32_t i;
 
-	if (routes->route_count == routes->room) {
-		routes->room = routes->room == 0 ? 16 : 2 * routes->room;
+	if (routes->route_count == routes->capacity) {
+		routes->capacity =
+		    routes->capacity == 0 ? 16 : 2 * routes->capacity;
 		routes->routes = jj_realloc(
-		    routes->routes, routes->room * sizeof(*routes->routes));
+		    routes->routes, routes->capacity * sizeof(*routes->routes));
 	}
 	copy = &routes->routes[routes->route_count++];
 	*copy = *route;
@@ -48,7 +49,7 @@
 	size_t size = 1;
 	size_t i;
 
-	while (size < INDEX_ROOM * routes->route_count)
+	while (size < INDEX_SLOTS_PER_ROUTE * routes->route_count)
 		size *= 2;
 	free(routes->index);
 	routes->index = jj_alloc(size * sizeof(*routes->index));
@@ -61,7 +62,9 @@
 
 		if (length > routes->longest_prefix)
 			routes->longest_prefix = length;
-		/* Of two with one host and prefix the first one counts. */
+		/*
+		 * The first of two routes with the same host and prefix wins.
+		 */
 		if (find_prefix(routes, route->host, route->prefix, length) !=
 		    NULL)
 			continue;
@@ -118,7 +121,10 @@
 	memset(route, 0, sizeof(*route));
 }
 
-/** A prefix ends with a slash, so only the path's slashes can end one. */
+/**
+ * A prefix ends with a slash, so only prefixes of the path that end with a
+ * slash are looked up.
+ */
 const jj_route_t *
 jj_routes_match(const jj_routes_t *routes, const char *host, const char *path)
 {
@@ -154,7 +160,7 @@
 jj_route_pick(const jj_route_t *route, uint64_t random)
 {
 	uint64_t sum = 0;
-	uint64_t place;
+	uint64_t rest;
 	uint32_t i;
 
 	for (i = 0; i < route->backend_count; i++)
@@ -162,11 +168,11 @@
 	if (sum == 0)
 		return route->backend_count > 0 ? &route->backends[0].service
 						: NULL;
-	place = random % sum;
+	rest = random % sum;
 	for (i = 0; i + 1 < route->backend_count; i++) {
-		if (place < route->backends[i].weight)
+		if (rest < route->backends[i].weight)
 			break;
-		place -= route->backends[i].weight;
+		rest -= route->backends[i].weight;
 	}
 	return &route->backends[i].service;
 }
@@ -189,7 +195,7 @@
 	    (route->kind == JJ_ROUTE_STREAM && route->resumable);
 }
 
-/** The case of the host's letters does not count. */
+/** Hashes a host and a prefix; the case of the host is ignored. */
 static uint64_t
 hash_key(const char *host, const char *prefix, size_t length)
 {
@@ -207,11 +213,11 @@
     size_t length)
 {
 	size_t at = hash_key(host, prefix, length);
-	uint32_t place;
+	uint32_t number;
 
-	while ((place = routes->index[at & (routes->index_size - 1)]) != 0) {
-		if (is_key(&routes->routes[place - 1], host, prefix, length))
-			return &routes->routes[place - 1];
+	while ((number = routes->index[at & (routes->index_size - 1)]) != 0) {
+		if (is_key(&routes->routes[number - 1], host, prefix, length))
+			return &routes->routes[number - 1];
 		at++;
 	}
 	return NULL;
