--- a/tests/core/fleet_test.cc
+++ b/tests/core/fleet_test.cc
@@ -1,6 +1,7 @@
 /**
  * @file fleet_test.cc
- * @brief Which backend servers take work: own signs, neighbours, lists.
+ * @brief Which backend servers get work, by own observations, neighbours and
+ * lists.
  */
 #include <string>
 #include <vector>
@@ -60,25 +61,25 @@
 	note(const std::string &server, jj_server_state_t state, uint64_t boot)
 	{
 		jj_name_t name;
-		bool news;
+		bool changed;
 
 		(void)jj_name_set(&name, server.c_str());
-		jj_fleet_note(fleet, &name, state, boot, now, &out, &news);
-		return news;
+		jj_fleet_note(fleet, &name, state, boot, now, &out, &changed);
+		return changed;
 	}
 	void
 	notice(
 	    const std::string &server, jj_server_state_t state, uint64_t boot)
 	{
-		jj_server_notice_t told = {};
+		jj_server_notice_t report = {};
 
-		(void)jj_name_set(&told.server, server.c_str());
-		told.state = state;
-		told.boot = boot;
-		jj_fleet_take_notice(fleet, &told, now);
+		(void)jj_name_set(&report.server, server.c_str());
+		report.state = state;
+		report.boot = boot;
+		jj_fleet_take_notice(fleet, &report, now);
 	}
 	bool
-	works(const std::string &server)
+	takes_work(const std::string &server)
 	{
 		jj_name_t name;
 
@@ -91,45 +92,49 @@
 	jj_ms_t now = 1000;
 };
 
-/* A server drains: it refuses new work with the drain header and finishes
- * what it has. The platform's list still says live, and its answers still
- * come in; neither may bring new work to it. */
+/*
+ * A server drains: it refuses new work with the drain header and finishes its
+ * running requests. The platform's list still has it as live, and its answers
+ * still arrive; neither may bring it new work.
+ */
 TEST_F(Fleet, ALeavingServerGetsNoNewWork)
 {
 	ASSERT_TRUE(list({"s1", "s2"}));
 	(void)note("s1", JJ_SERVER_UP, 7);
-	EXPECT_TRUE(works("s1"));
+	EXPECT_TRUE(takes_work("s1"));
 	EXPECT_TRUE(note("s1", JJ_SERVER_LEAVING, 7));
-	EXPECT_FALSE(works("s1"));
-	EXPECT_FALSE(note("s1", JJ_SERVER_LEAVING, 7)) << "no news twice";
+	EXPECT_FALSE(takes_work("s1"));
+	EXPECT_FALSE(note("s1", JJ_SERVER_LEAVING, 7))
+	    << "an unchanged state is not reported again";
 	now += 3000;
 	ASSERT_TRUE(list({"s1", "s2"}));
 	(void)note("s1", JJ_SERVER_UP, 7);
 	notice("s1", JJ_SERVER_UP, 7);
-	EXPECT_FALSE(works("s1"));
+	EXPECT_FALSE(takes_work("s1"));
 	(void)note("s1", JJ_SERVER_DOWN, 7);
 	(void)note("s1", JJ_SERVER_UP, 7);
-	EXPECT_FALSE(works("s1")) << "a broken connection is no return";
+	EXPECT_FALSE(takes_work("s1"))
+	    << "a broken connection does not end its leaving";
 	EXPECT_TRUE(note("s1", JJ_SERVER_UP, 8));
-	EXPECT_TRUE(works("s1")) << "another run";
+	EXPECT_TRUE(takes_work("s1")) << "it has restarted";
 }
 
-TEST_F(Fleet, TheListSaysLeaving)
+TEST_F(Fleet, AServerThatIsListedAsLeavingGetsNoWork)
 {
 	ASSERT_TRUE(list({"s1", "s2"}, "s1"));
 	(void)note("s1", JJ_SERVER_UP, 7);
-	EXPECT_FALSE(works("s1"));
-	EXPECT_TRUE(works("s2"));
+	EXPECT_FALSE(takes_work("s1"));
+	EXPECT_TRUE(takes_work("s2"));
 }
 
 TEST_F(Fleet, NoticesOfNeighbours)
 {
 	const struct {
-		const char *story;
+		const char *label;
 		bool own_sign_fresh;
 		jj_server_state_t state;
 		uint64_t boot;
-		bool works;
+		bool takes_work;
 	} cases[] = {
 	    {"leaving", false, JJ_SERVER_LEAVING, 7, false},
 	    {"leaving, though it answers us", true, JJ_SERVER_LEAVING, 7,
@@ -143,16 +148,16 @@
 	for (const auto &row : cases) {
 		jj_server_t server = {};
 
-		(void)jj_name_set(&server.name, row.story);
+		(void)jj_name_set(&server.name, row.label);
 		jj_fleet_learn(fleet, &server);
-		(void)note(row.story, JJ_SERVER_UP, 7);
+		(void)note(row.label, JJ_SERVER_UP, 7);
 		now += row.own_sign_fresh ? 100 : 60000;
-		notice(row.story, row.state, row.boot);
-		EXPECT_EQ(works(row.story), row.works) << row.story;
+		notice(row.label, row.state, row.boot);
+		EXPECT_EQ(takes_work(row.label), row.takes_work) << row.label;
 	}
 }
 
-TEST_F(Fleet, ProbesOfADeadServerGrowApart)
+TEST_F(Fleet, ProbeIntervalsOfAFailedServerDouble)
 {
 	jj_name_t name;
 	jj_ms_t waits[] = {500, 1000, 2000, 4000};
@@ -166,18 +171,20 @@
 		    jj_fleet_find(fleet, &name)->down_until_ms, now + wait);
 		now += wait;
 	}
-	EXPECT_FALSE(works("s1"));
+	EXPECT_FALSE(takes_work("s1"));
 	(void)note("s1", JJ_SERVER_UP, 7);
-	EXPECT_TRUE(works("s1"));
+	EXPECT_TRUE(takes_work("s1"));
 }
 
-/* The platform's list is out, empty, cut short or malformed while all servers
- * are well. Users would see every request refused if that were taken for a
- * mass death. One server that is missing for long is held for gone. */
-TEST_F(Fleet, AWrongListIsNoMassDeath)
+/*
+ * The platform's list is unavailable, empty, incomplete or malformed while all
+ * servers are up. If that counted as a failure of all servers, every request
+ * would be refused. A single server that is missing for long is taken as gone.
+ */
+TEST_F(Fleet, AWrongListIsNoFailureOfAllServers)
 {
 	const struct {
-		const char *story;
+		const char *label;
 		const char *json;
 		bool taken;
 	} cases[] = {
@@ -196,30 +203,30 @@
 	ASSERT_TRUE(list({"s1", "s2", "s3", "s4"}));
 	for (const auto &row : cases) {
 		for (int i = 0; i < 20; i++) {
-			EXPECT_EQ(take(row.json), row.taken) << row.story;
+			EXPECT_EQ(take(row.json), row.taken) << row.label;
 			now += 2000;
 		}
 		for (const char *server : {"s1", "s2", "s3", "s4"})
-			EXPECT_TRUE(works(server)) << row.story;
+			EXPECT_TRUE(takes_work(server)) << row.label;
 	}
 }
 
-TEST_F(Fleet, AServerMissingFromSeveralListsIsHeldForGone)
+TEST_F(Fleet, AServerMissingFromSeveralListsIsTakenAsGone)
 {
 	ASSERT_TRUE(list({"s1", "s2", "s3"}));
 	ASSERT_TRUE(list({"s1", "s2"}));
 	ASSERT_TRUE(list({"s1", "s2"}));
 	ASSERT_TRUE(list({"s1", "s2"}));
-	EXPECT_TRUE(works("s3")) << "three lists in a burst";
+	EXPECT_TRUE(takes_work("s3")) << "three lists in a burst";
 	now += 6000;
 	ASSERT_TRUE(list({"s1", "s2"}));
-	EXPECT_FALSE(works("s3"));
+	EXPECT_FALSE(takes_work("s3"));
 	(void)note("s3", JJ_SERVER_UP, 7);
-	EXPECT_TRUE(works("s3")) << "its own sign goes first";
+	EXPECT_TRUE(takes_work("s3")) << "its own sign of life takes priority";
 	ASSERT_TRUE(list({"s1", "s2", "s3"}));
 	for (int i = 0; i < 10; i++) {
 		ASSERT_TRUE(list({"s1", "s2"}));
-		EXPECT_TRUE(works("s3")) << "and goes on doing so";
+		EXPECT_TRUE(takes_work("s3")) << "and still does";
 		now += 2000;
 		(void)note("s3", JJ_SERVER_UP, 7);
 	}
--- a/tests/core/gateway_config_test.cc
+++ b/tests/core/gateway_config_test.cc
@@ -8,13 +8,14 @@
 {
 
 constexpr int VMS = 12;
-/** In force everywhere by then: news_ms of the settings. */
+/** Time within which each VM has the configuration: news_ms of the settings. */
 constexpr jj_ms_t NEWS_MS = 2000;
 
 class ConfigSpread : public GatewayFleet
 {
       protected:
-	std::map<uint64_t, jj_give_up_t> refused; /**< by request */
+	/** reasons of refusals, by request */
+	std::map<uint64_t, jj_give_up_t> refused;
 
 	ConfigSpread() : GatewayFleet(VMS)
 	{
@@ -28,11 +29,11 @@
 			sum += vm.second.documents.size();
 		return sum;
 	}
-	/** Most that one VM sent within that time. */
+	/** Maximum number of documents that one VM sent within that time. */
 	size_t
-	most_within(jj_ms_t ms)
+	max_within(jj_ms_t ms)
 	{
-		size_t most = 0;
+		size_t max = 0;
 
 		for (const auto &vm : vms) {
 			const std::vector<jj_ms_t> &times = vm.second.documents;
@@ -43,10 +44,10 @@
 				while (j < times.size() &&
 				    times[j] < times[i] + ms)
 					j++;
-				most = std::max(most, j - i);
+				max = std::max(max, j - i);
 			}
 		}
-		return most;
+		return max;
 	}
 	void
 	take(const std::string &, const jj_action_t &action) override
@@ -64,12 +65,12 @@
 };
 
 /*
- * A configuration of 0.3 MB changed. Each of 56 VMs learned it from its own
- * watch and sent it to all that it took to be behind: 30 MB a VM, links of
- * 30 Mbit/s stood still for eight seconds, VMs missed each other, servers
- * that left were sent requests. Who learns it by itself needs it from nobody.
+ * Guards against documents that nobody needs. When a configuration of 0.3 MB
+ * changed, each of 56 VMs learned it from its own watch and sent it to all that
+ * seemed to be behind: 30 MB a VM. Links of 30 Mbit/s were busy for eight
+ * seconds, heartbeats were lost, and stopping servers were sent requests.
  */
-TEST_F(ConfigSpread, WhatEachVmLearnsByItselfNobodySends)
+TEST_F(ConfigSpread, NoDocumentIsSentWhenEachVmReadsItItself)
 {
 	for (const auto &vm : vms) {
 		see_config(vm.first, 9);
@@ -80,9 +81,11 @@
 	EXPECT_EQ(0U, documents());
 }
 
-/* One VM alone learns it: the others have it in time, each gets it about
- * once, and no VM sends it to all of them. */
-TEST_F(ConfigSpread, WhatOneVmKnowsAllHaveInTime)
+/*
+ * Only one VM learns the version from the platform: the others have it in time,
+ * each receives it about once, and no VM sends it to all of them.
+ */
+TEST_F(ConfigSpread, WhatOneVmReadsAllHaveInTime)
 {
 	for (int i = 1; i < VMS; i++)
 		vms["verona-" + std::to_string(i)].cut = JJ_PLATFORM_UNKNOWN;
@@ -90,23 +93,26 @@
 	run(NEWS_MS);
 	expect_all_have(9);
 	EXPECT_LE(documents(), 2U * VMS);
-	EXPECT_LE(most_within(NEWS_MS / 6), 4U);
+	EXPECT_LE(max_within(NEWS_MS / 6), 4U);
 }
 
-/* Its first source goes deaf: another one is asked. */
+/* The VM that is asked first does not answer: another one is asked. */
 TEST_F(ConfigSpread, AnotherVmIsAskedWhenOneDoesNotAnswer)
 {
 	see_config("verona-1", 9);
 	see_config("verona-2", 9);
 	run(2 * FLEET_STEP_MS);
-	vms["verona-1"].deaf = true;
+	vms["verona-1"].loses_messages = true;
 	run(NEWS_MS);
 	for (int i = 2; i <= VMS; i++)
 		EXPECT_EQ(9U, version_of("verona-" + std::to_string(i))) << i;
 }
 
-/* Versions in a row: the newest is in force, older ones are not sent on. */
-TEST_F(ConfigSpread, OfVersionsInARowTheNewestCounts)
+/*
+ * Versions in quick succession: the newest is in force, older documents are not
+ * sent.
+ */
+TEST_F(ConfigSpread, OfVersionsInQuickSuccessionTheNewestCounts)
 {
 	for (uint64_t version = 9; version < 20; version++) {
 		see_config("verona-3", version);
@@ -119,23 +125,24 @@
 
 struct BehindCase {
 	const char *name;
-	const char *seen; /**< at verona-1, of the platform; or NULL */
-	uint64_t elsewhere; /**< in force at verona-2; or 0 */
-	jj_give_up_t reason; /**< of a request without a route */
-	int status; /**< of a job without a route */
+	const char *seen; /**< what the watch of verona-1 returns, or NULL */
+	uint64_t elsewhere; /**< version in force at verona-2, or 0 */
+	/** reason of refusal of a request without a route */
+	jj_give_up_t reason;
+	int status; /**< answer to a job without a route */
 };
 
 class ConfigBehind : public ConfigSpread,
 		     public ::testing::WithParamInterface<BehindCase>
 {
       protected:
-	/** In force everywhere without the route of jobs. */
+	/** A configuration without the batch route is in force at all VMs. */
 	ConfigBehind()
 	{
 		routes.erase(routes.begin());
 		see_config("verona-1", 8);
 		run(NEWS_MS);
-		vms["verona-2"].deaf = true;
+		vms["verona-2"].loses_messages = true;
 	}
 	void
 	expect_refused(jj_give_up_t reason, int status)
@@ -150,32 +157,32 @@
 	}
 };
 
-/* Guards against a 404 for a route that only the newest configuration has. */
-TEST_P(ConfigBehind, RefusesWithATimeToComeBack)
+/* Guards against a 404 for a route that only a newer configuration has. */
+TEST_P(ConfigBehind, RefusesWithARetryDelay)
 {
-	const BehindCase &one = GetParam();
+	const BehindCase &param = GetParam();
 
-	if (one.elsewhere > 0)
-		see_config("verona-2", one.elsewhere);
-	if (one.seen != nullptr)
-		see("verona-1", 1, "config/main", one.seen);
+	if (param.elsewhere > 0)
+		see_config("verona-2", param.elsewhere);
+	if (param.seen != nullptr)
+		see("verona-1", 1, "config/main", param.seen);
 	run(2 * FLEET_STEP_MS);
-	expect_refused(one.reason, one.status);
+	expect_refused(param.reason, param.status);
 	see_config("verona-1", 30);
 	expect_refused(JJ_GIVE_UP_NO_SERVICE, 404);
 }
 
-/* Guards against a VM that stays behind without a line in its log. */
-TEST_P(ConfigBehind, IsLoggedLessAndLessOften)
+/* Guards against a VM whose configuration stays stale without a log line. */
+TEST_P(ConfigBehind, IsLoggedAtDoublingIntervals)
 {
-	const BehindCase &one = GetParam();
+	const BehindCase &param = GetParam();
 
-	if (one.seen != nullptr)
-		see("verona-1", 1, "config/main", one.seen);
+	if (param.seen != nullptr)
+		see("verona-1", 1, "config/main", param.seen);
 	run(NEWS_MS / 2);
 	EXPECT_EQ(0, vms["verona-1"].events["config_behind"]);
 	run(8 * NEWS_MS);
-	EXPECT_EQ(one.seen != nullptr ? 4 : 0,
+	EXPECT_EQ(param.seen != nullptr ? 4 : 0,
 	    vms["verona-1"].events["config_behind"]);
 }
 
--- a/tests/core/gateway_fixture.h
+++ b/tests/core/gateway_fixture.h
@@ -1,6 +1,7 @@
 /**
  * @file gateway_fixture.h
- * @brief One whole gateway, driven call by call; its platform in memory.
+ * @brief A test fixture with one whole gateway and a platform in memory; tests
+ * make its calls one by one.
  */
 #ifndef TESTS_CORE_GATEWAY_FIXTURE_H
 #define TESTS_CORE_GATEWAY_FIXTURE_H
@@ -14,10 +15,11 @@
 
 #include "tests/core/gateway_world.h"
 
-/** What the gateway said of a request. */
-struct Said {
-	std::vector<std::string> servers; /**< attempts, in order */
-	std::vector<uint32_t> cancelled; /**< attempts */
+/** What the gateway did with a request. */
+struct RequestOutcome {
+	/** servers of the attempts, in order */
+	std::vector<std::string> servers;
+	std::vector<uint32_t> cancelled; /**< numbers of cancelled attempts */
 	int answers = 0;
 	jj_answer_t answer = {};
 };
@@ -31,9 +33,9 @@
 	jj_actions_t out;
 	jj_ms_t now = 1000;
 	uint64_t last = 0;
-	std::map<uint64_t, Said> said;
-	std::vector<std::string> sent; /**< messages: "NAME KIND" */
-	std::map<int, jj_action_t *> watches; /**< by token */
+	std::map<uint64_t, RequestOutcome> outcomes;
+	std::vector<std::string> sent; /**< messages sent: "NAME KIND" */
+	std::map<int, jj_action_t *> watches; /**< open watches, by token */
 	std::vector<std::string> item_servers;
 
 	Gateway()
@@ -87,10 +89,10 @@
 	{
 		now += ms;
 		jj_gateway_tick(gateway, now, &out);
-		settle();
+		run_actions();
 	}
 	void
-	settle()
+	run_actions()
 	{
 		jj_action_t *action;
 
@@ -98,7 +100,7 @@
 			TAILQ_REMOVE(&out, action, link);
 			if (action->kind == JJ_ACTION_PLATFORM &&
 			    action->body.platform.op == JJ_PLATFORM_WATCH) {
-				watches[number_of(action->body.platform)] =
+				watches[watch_token(action->body.platform)] =
 				    action;
 				continue;
 			}
@@ -119,16 +121,16 @@
 			break;
 		}
 		case JJ_ACTION_BACKEND_START:
-			said[action->body.start.request].servers.push_back(
+			outcomes[action->body.start.request].servers.push_back(
 			    action->body.start.server.text);
 			break;
 		case JJ_ACTION_BACKEND_CANCEL:
-			said[action->body.cancel.request].cancelled.push_back(
-			    action->body.cancel.attempt);
+			outcomes[action->body.cancel.request]
+			    .cancelled.push_back(action->body.cancel.attempt);
 			break;
 		case JJ_ACTION_ANSWER:
-			said[action->body.answer.request].answers++;
-			said[action->body.answer.request].answer =
+			outcomes[action->body.answer.request].answers++;
+			outcomes[action->body.answer.request].answer =
 			    action->body.answer;
 			break;
 		case JJ_ACTION_SEND:
@@ -140,14 +142,14 @@
 			break;
 		}
 	}
-	/** Watches of the jobs count from 100. */
+	/** Token of a call; 100 is added for calls of the jobs. */
 	static int
-	number_of(const jj_platform_call_t &call)
+	watch_token(const jj_platform_call_t &call)
 	{
 		return (int)call.token +
 		    (call.owner == JJ_OWNER_INLINE ? 100 : 0);
 	}
-	/** The watch of that token brings one object. */
+	/** The watch of that token returns a change of one object. */
 	void
 	see(int token, const char *key, const char *value, bool gone = false)
 	{
@@ -173,9 +175,9 @@
 		watches.erase(token);
 		jj_gateway_take_platform(gateway, &result, now, &out);
 		jj_bytes_free(&item.value);
-		settle();
+		run_actions();
 	}
-	/** The watch of that token ends: its history is gone. */
+	/** The watch of that token ends as the platform's history is gone. */
 	void
 	lose_history(int token)
 	{
@@ -195,7 +197,7 @@
 		jj_action_free(watches[token]);
 		watches.erase(token);
 		jj_gateway_take_platform(gateway, &result, now, &out);
-		settle();
+		run_actions();
 		tick(0);
 	}
 	uint64_t
@@ -212,36 +214,36 @@
 		request.fingerprint =
 		    fingerprint != 0 ? fingerprint : 1000 + last;
 		jj_gateway_begin(gateway, &request, now, &out);
-		settle();
+		run_actions();
 		return last;
 	}
 	void
-	happens(uint64_t request, jj_backend_kind_t kind, int status = 200,
+	report_event(uint64_t request, jj_backend_kind_t kind, int status = 200,
 	    bool relayed = false)
 	{
 		jj_backend_event_t event = {};
 		jj_bytes_t text = {};
 
 		event.request = request;
-		event.attempt = (uint32_t)said[request].servers.size();
+		event.attempt = (uint32_t)outcomes[request].servers.size();
 		event.kind = kind;
 		event.relayed = relayed;
 		jj_gateway_take_backend(
 		    gateway, &event, status, &text, now, &out);
 		jj_bytes_free(&text);
-		settle();
+		run_actions();
 	}
 	size_t
 	attempts(uint64_t request)
 	{
-		return said[request].servers.size();
+		return outcomes[request].servers.size();
 	}
 	void
 	expect_end(uint64_t request, jj_give_up_t reason, jj_run_t run)
 	{
-		EXPECT_EQ(1, said[request].answers);
-		EXPECT_EQ(reason, said[request].answer.reason);
-		EXPECT_EQ(run, said[request].answer.run);
+		EXPECT_EQ(1, outcomes[request].answers);
+		EXPECT_EQ(reason, outcomes[request].answer.reason);
+		EXPECT_EQ(run, outcomes[request].answer.run);
 	}
 	void
 	submit(const char *id, int count)
@@ -260,7 +262,7 @@
 			item->body = jj_bytes_from_text(item->id);
 		}
 		jj_gateway_submit(gateway, ++last, &job, now, &out);
-		settle();
+		run_actions();
 	}
 	jj_slot_server_t *
 	server(const char *id)
--- a/tests/core/gateway_fleet.h
+++ b/tests/core/gateway_fleet.h
@@ -1,9 +1,10 @@
 /**
  * @file gateway_fleet.h
- * @brief Whole gateways of one failure domain in virtual time.
+ * @brief A test fixture with whole gateways of one failure domain in virtual
+ * time.
  *
- * Messages take one step; the platform answers at once, but for watches, which
- * a test answers itself.
+ * Messages take one step. The platform answers at once, except for watches,
+ * which a test answers itself.
  */
 #ifndef TESTS_CORE_GATEWAY_FLEET_H
 #define TESTS_CORE_GATEWAY_FLEET_H
@@ -20,12 +21,15 @@
 
 struct FleetVm {
 	jj_gateway_t *gateway = nullptr;
-	jj_platform_outcome_t cut = JJ_PLATFORM_OK; /**< what calls end with */
-	bool deaf = false; /**< messages to it are lost */
-	std::map<uint64_t, int> answers; /**< of submissions, by operation */
-	std::map<std::string, int> events; /**< log lines, by name */
-	int calls = 0; /**< of single objects at the platform */
-	std::vector<jj_ms_t> documents; /**< configurations it sent, when */
+	/** outcome of its platform calls */
+	jj_platform_outcome_t cut = JJ_PLATFORM_OK;
+	bool loses_messages = false; /**< messages to this VM are lost */
+	/** answers to submissions, by operation */
+	std::map<uint64_t, int> answers;
+	std::map<std::string, int> events; /**< number of log lines, by name */
+	int calls = 0; /**< calls for single objects at the platform */
+	/** times at which it sent a configuration */
+	std::vector<jj_ms_t> documents;
 };
 
 /** Whole gateways in virtual time; messages take one step. */
@@ -39,7 +43,7 @@
 	jj_ms_t now = 1000;
 	uint64_t last = 0;
 	int count;
-	uint32_t queue_most; /**< online requests that wait at a server */
+	uint32_t queue_most; /**< online requests that may wait at a server */
 	decltype(jj_gateway_port_t::read_routes) reader;
 
 	explicit GatewayFleet(int count = 3, uint32_t queue_most = 1,
@@ -112,7 +116,7 @@
 			jj_actions_t out = TAILQ_HEAD_INITIALIZER(out);
 			std::string to = message.second->body.send.to.text;
 
-			if (vms.count(to) == 1 && !vms[to].deaf) {
+			if (vms.count(to) == 1 && !vms[to].loses_messages) {
 				jj_gateway_take_message(vms[to].gateway,
 				    message.second->body.send.message, now,
 				    &out);
@@ -151,7 +155,7 @@
 			jj_action_free(action);
 		}
 	}
-	/** What goes to backend servers and callers. */
+	/** Takes the actions that concern backend servers and callers. */
 	virtual void
 	take(const std::string &, const jj_action_t &)
 	{
@@ -177,13 +181,13 @@
 		jj_platform_result_clear(&result);
 		carry_out(name, &out);
 	}
-	/** The VM's watch of the configuration brings that version. */
+	/** The VM's watch of the configuration returns that version. */
 	void
 	see_config(const std::string &name, uint64_t version)
 	{
 		see(name, 1, "config/main", std::to_string(version).c_str());
 	}
-	/** The VM's watch of that token brings an object. */
+	/** The VM's watch of that token returns an object. */
 	void
 	see(const std::string &name, uint64_t token, const char *key,
 	    const char *text)
@@ -220,7 +224,7 @@
 		carry_out(name, &out);
 		return last;
 	}
-	/** The first attempt of the last request ended so. */
+	/** The first attempt of the last request ends with that event. */
 	void
 	fail(const std::string &name, jj_backend_kind_t kind)
 	{
--- a/tests/core/gateway_items_fleet_test.cc
+++ b/tests/core/gateway_items_fleet_test.cc
@@ -1,6 +1,6 @@
 /**
  * @file gateway_items_fleet_test.cc
- * @brief Items at whole gateways while servers, VMs and routes come and go.
+ * @brief Items of jobs at whole gateways while servers, VMs and routes change.
  */
 #include <random>
 #include <set>
@@ -15,7 +15,7 @@
 namespace
 {
 
-/** What is wrong with the items of a VM; empty: nothing. */
+/** Returns what is violation with the items of a VM; empty: nothing. */
 std::string
 check_items(const jj_gateway_t *gateway)
 {
@@ -30,14 +30,14 @@
 		if (entry->class_of == JJ_CLASS_BATCH)
 			waiting[entry->request]++;
 		if (entry->server != nullptr)
-			return "one that waits is at a server";
+			return "a waiting entry has a server";
 	}
 	TAILQ_FOREACH(entry, &gateway->sent, link)
 	{
 		if (entry->class_of == JJ_CLASS_BATCH)
 			sent[entry->request]++;
 		if (entry->server == nullptr)
-			return "one that is sent is at no server";
+			return "a sent entry has no server";
 	}
 	TAILQ_FOREACH(run, &gateway->jobs->runs, link)
 	{
@@ -52,7 +52,7 @@
 			if (entry == nullptr || entry->job != &run->job)
 				return "a begun item has no entry";
 			if (waiting[request] + sent[request] != 1)
-				return "a begun item is not in one list";
+				return "a begun item is not in one list only";
 		}
 	}
 	if (begun != gateway->counts[JJ_CLASS_BATCH])
@@ -65,7 +65,7 @@
 	return "";
 }
 
-/** A fleet whose watches bring what changes, and servers that run items. */
+/** A fleet whose watches return changes, and whose servers run items. */
 class ItemFleet : public GatewayFleet
 {
       protected:
@@ -87,21 +87,25 @@
 	std::mt19937 random;
 	std::vector<Attempt> attempts;
 	std::vector<Watch> watches;
-	std::set<std::string> keys; /**< that ever stood at the platform */
+	std::set<std::string> keys; /**< all keys that the platform ever had */
 	std::set<std::string> accepted;
-	std::map<uint64_t, std::string> asked; /**< jobs, by operation */
+	/** submitted jobs, by operation */
+	std::map<uint64_t, std::string> submitted;
 	std::vector<jj_route_backend_t> backends = {
 	    {{"ordini"}, 1}, {{"altri"}, 1}};
 	uint64_t version = 7;
 	jj_incarnation_t incarnation = 100;
-	std::string wrong;
-	std::string story;
+	std::string violation;
+	std::string event_log;
 
 	ItemFleet()
 	{
 		for (int i = 0; i < SERVERS; i++)
 			set_server(i, "ready");
-		/* Those of the base took its watches, which end never. */
+		/*
+		 * GatewayFleet never answers watches, so the VMs it started are
+		 * restarted.
+		 */
 		for (int i = 1; i <= count; i++)
 			restart("verona-" + std::to_string(i));
 		elapse(3000);
@@ -111,7 +115,7 @@
 	{
 		return random() % most;
 	}
-	/** Half of the servers are of each service. */
+	/** Half of the servers belong to each service. */
 	void
 	set_server(int i, const std::string &state)
 	{
@@ -182,7 +186,7 @@
 	take(const std::string &name, const jj_action_t &action) override
 	{
 		uint64_t request = action.body.cancel.request;
-		bool one = action.kind == JJ_ACTION_BACKEND_CANCEL;
+		bool is_attempt = action.kind == JJ_ACTION_BACKEND_CANCEL;
 
 		if (action.kind == JJ_ACTION_BACKEND_START) {
 			check_route(name, action.body.start);
@@ -191,17 +195,20 @@
 			    action.body.start.server.text, false});
 			return;
 		}
-		if (!one && action.kind != JJ_ACTION_ITEM_CANCEL)
+		if (!is_attempt && action.kind != JJ_ACTION_ITEM_CANCEL)
 			return;
 		for (size_t i = attempts.size(); i-- > 0;)
 			if (attempts[i].vm == name &&
 			    attempts[i].request == request &&
-			    (!one ||
+			    (!is_attempt ||
 				attempts[i].attempt ==
 				    action.body.cancel.attempt))
 				attempts.erase(attempts.begin() + (long)i);
 	}
-	/** An item goes only where the VM's configuration lets it go. */
+	/**
+	 * Checks that an item is only sent to a service that its VM's
+	 * configuration allows.
+	 */
 	void
 	check_route(const std::string &name, const jj_backend_start_t &start)
 	{
@@ -218,11 +225,12 @@
 		    &gateway->routes, entry->job->host, entry->job->path);
 		if (route == nullptr ||
 		    !jj_route_allows(route, &server->info.service))
-			wrong = name + ": an item goes where no route leads";
+			violation = name +
+			    ": an item was sent where its route does not allow";
 	}
-	/** An attempt goes on, or ends, in that way. */
+	/** An event of that kind occurs at an attempt. */
 	void
-	happens(size_t i, jj_backend_kind_t kind, int status)
+	report_event(size_t i, jj_backend_kind_t kind, int status)
 	{
 		Attempt of = attempts[i];
 		jj_actions_t out = TAILQ_HEAD_INITIALIZER(out);
@@ -253,19 +261,20 @@
 				    watches[i].call.version < platform.revision)
 					answer_watch(i);
 			for (auto &vm : vms)
-				note(vm.first, vm.second);
+				check_vm(vm.first, vm.second);
 		}
 	}
 	void
-	note(const std::string &name, FleetVm &vm)
+	check_vm(const std::string &name, FleetVm &vm)
 	{
-		std::string said = check_items(vm.gateway);
+		std::string problem = check_items(vm.gateway);
 
-		if (!said.empty() && wrong.empty())
-			wrong = name + ": " + said;
+		if (!problem.empty() && violation.empty())
+			violation = name + ": " + problem;
 		for (auto &answer : vm.answers)
-			if (answer.second == 202 && asked.count(answer.first))
-				accepted.insert(asked[answer.first]);
+			if (answer.second == 202 &&
+			    submitted.count(answer.first))
+				accepted.insert(submitted[answer.first]);
 	}
 	void
 	restart(const std::string &name)
@@ -280,7 +289,7 @@
 		vms[name] = FleetVm();
 		create(name, ++incarnation);
 	}
-	/** A planned stop, for as long as it takes or half a second. */
+	/** A planned stop with half a second to finish. */
 	void
 	leave(const std::string &name)
 	{
@@ -290,18 +299,18 @@
 		carry_out(name, &out);
 		elapse(500);
 	}
-	/** The batch route leads to one of the services, or to both. */
+	/** Sets the batch route to one of the services, or to both. */
 	void
-	set_route(uint32_t way)
+	set_route(uint32_t choice)
 	{
-		routes[0].backends = &backends[way % 2];
-		routes[0].backend_count = way < 2 ? 1 : 2;
-		if (way == 2)
+		routes[0].backends = &backends[choice % 2];
+		routes[0].backend_count = choice < 2 ? 1 : 2;
+		if (choice == 2)
 			routes[0].backends = &backends[0];
 		platform.put("config/main", std::to_string(++version));
 	}
 	void
-	disturb()
+	inject_event()
 	{
 		static const jj_backend_kind_t ends[] = {JJ_BACKEND_NOT_SENT,
 		    JJ_BACKEND_REFUSED, JJ_BACKEND_LEAVING, JJ_BACKEND_FIRST,
@@ -310,7 +319,7 @@
 		std::string vm = "verona-" + std::to_string(1 + draw(3));
 		uint32_t kind = draw(12);
 
-		story += " " + std::to_string(kind);
+		event_log += " " + std::to_string(kind);
 		switch (kind) {
 		case 0:
 			set_server((int)draw(SERVERS),
@@ -323,7 +332,7 @@
 			set_route(draw(3));
 			break;
 		case 3:
-			vms[vm].deaf = !vms[vm].deaf;
+			vms[vm].loses_messages = !vms[vm].loses_messages;
 			break;
 		case 4:
 			vms[vm].cut = vms[vm].cut == JJ_PLATFORM_OK
@@ -342,32 +351,32 @@
 			break;
 		default:
 			if (!attempts.empty())
-				happens(draw((uint32_t)attempts.size()),
+				report_event(draw((uint32_t)attempts.size()),
 				    ends[draw(8)], draw(4) == 0 ? 422 : 500);
 			break;
 		}
 		elapse(5 * (1 + draw(60)));
 	}
 	void
-	calm_down()
+	restore_all()
 	{
-		uint32_t way = draw(3);
+		uint32_t choice = draw(3);
 
-		set_route(way);
+		set_route(choice);
 		for (int i = 0; i < SERVERS; i++)
-			if (way == 2 || (uint32_t)i % 2 == way)
+			if (choice == 2 || (uint32_t)i % 2 == choice)
 				set_server(i, "ready");
 			else
 				remove_server(i);
 		for (auto &vm : vms) {
-			vm.second.deaf = false;
+			vm.second.loses_messages = false;
 			vm.second.cut = JJ_PLATFORM_OK;
 		}
 		for (jj_ms_t until = now + 30000; now < until && is_open();) {
 			elapse(50);
 			for (size_t i = attempts.size(); i-- > 0;)
 				if (i < attempts.size())
-					happens(i, JJ_BACKEND_DONE, 200);
+					report_event(i, JJ_BACKEND_DONE, 200);
 		}
 	}
 	bool
@@ -379,22 +388,23 @@
 		    first->first.find("batch-open/") == 0;
 	}
 	void
-	play(unsigned seed)
+	run_scenario(unsigned seed)
 	{
 		random.seed(seed);
 		for (int i = 0; i < JOBS; i++) {
 			std::string id = "j" + std::to_string(i);
 
-			asked[submit(
+			submitted[submit(
 			    "verona-" + std::to_string(1 + draw(3)), id)] = id;
 			elapse(100);
 			for (int k = 0; k < 10; k++)
-				disturb();
+				inject_event();
 		}
-		calm_down();
-		EXPECT_EQ("", wrong) << "seed " << seed << " events" << story;
+		restore_all();
+		EXPECT_EQ("", violation)
+		    << "seed " << seed << " events" << event_log;
 		EXPECT_FALSE(is_open())
-		    << "seed " << seed << " events" << story << "\n"
+		    << "seed " << seed << " events" << event_log << "\n"
 		    << describe_open();
 		for (const std::string &id : accepted)
 			EXPECT_EQ(1U,
@@ -426,11 +436,13 @@
 {
 };
 
-/* Guards against begun items without an entry, or with two, and against
- * accepted jobs that no VM runs. */
+/*
+ * Guards against begun items with no entry or two, and against accepted jobs
+ * that no VM runs.
+ */
 TEST_P(ItemFleetFailure, EachBegunItemHasOneEntry)
 {
-	play(GetParam());
+	run_scenario(GetParam());
 }
 
 INSTANTIATE_TEST_SUITE_P(Seeds, ItemFleetFailure, ::testing::Range(1U, 201U));
--- a/tests/core/gateway_items_test.cc
+++ b/tests/core/gateway_items_test.cc
@@ -1,32 +1,32 @@
 /**
  * @file gateway_items_test.cc
- * @brief Items of jobs go where the configuration in force lets them go.
+ * @brief Items of jobs are sent where the configuration in force allows it.
  */
 #include "tests/core/gateway_fixture.h"
 
 namespace
 {
 
-/** One item of a job on a batch route, and servers of two services. */
+/** A job with one item on a batch route, and servers of two services. */
 class GatewayItem : public Gateway
 {
       protected:
 	jj_route_backend_t other = {{"altri"}, 1};
-	jj_ms_t started_ms = 0; /**< of the last attempt */
+	jj_ms_t started_ms = 0; /**< start of the last attempt */
 
 	GatewayItem()
 	{
-		run_watch("servers/s1", "verona ready places=0");
+		list_server("servers/s1", "verona ready places=0");
 		submit("j", 1);
 		tick(200);
 	}
 	void
-	run_watch(const char *key, const char *value, bool gone = false)
+	list_server(const char *key, const char *value, bool gone = false)
 	{
 		see(2, key, value, gone);
 		tick(0);
 	}
-	/** A newer version in which the batch route leads elsewhere. */
+	/** A newer version moves the batch route to the other service. */
 	void
 	move_route()
 	{
@@ -40,7 +40,7 @@
 	{
 		std::vector<std::string> all;
 
-		for (const auto &entry : said)
+		for (const auto &entry : outcomes)
 			all.insert(all.end(), entry.second.servers.begin(),
 			    entry.second.servers.end());
 		return all;
@@ -51,39 +51,43 @@
 {
 };
 
-/* Guards against items that wait for servers of a service that the
- * configuration no longer names. */
-TEST_F(GatewayItemFailure, GoesToTheServiceInForce)
+/*
+ * Guards against items that wait for servers of a service that the
+ * configuration no longer has.
+ */
+TEST_F(GatewayItemFailure, IsSentToTheServiceInForce)
 {
 	ASSERT_TRUE(servers().empty());
-	run_watch("servers/t1", "verona ready service=altri");
+	list_server("servers/t1", "verona ready service=altri");
 	tick(200);
-	ASSERT_TRUE(servers().empty()) << "its route does not lead there yet";
+	ASSERT_TRUE(servers().empty()) << "its route does not allow it yet";
 	move_route();
 	tick(200);
 	EXPECT_EQ(std::vector<std::string>{"t1"}, servers());
 }
 
-/* Guards against items that are sent where an older configuration led. */
-TEST_F(GatewayItemFailure, DoesNotGoToTheServiceBefore)
+/*
+ * Guards against items that are sent to the service of an older configuration.
+ */
+TEST_F(GatewayItemFailure, IsNotSentToTheServiceOfAnOlderVersion)
 {
 	move_route();
-	run_watch("servers/s1", "verona ready");
+	list_server("servers/s1", "verona ready");
 	tick(1000);
 	EXPECT_TRUE(servers().empty());
-	run_watch("servers/t1", "verona ready service=altri");
+	list_server("servers/t1", "verona ready service=altri");
 	tick(200);
 	EXPECT_EQ(std::vector<std::string>{"t1"}, servers());
 }
 
-/* Guards against items that are sent on though their route was dropped. */
-TEST_F(GatewayItemFailure, WaitsWhileItsRouteIsDropped)
+/* Guards against items that are still sent although their route was removed. */
+TEST_F(GatewayItemFailure, WaitsWhileItsRouteIsRemoved)
 {
 	jj_route_t route = routes[2];
 
 	routes.pop_back();
 	see(1, "config/main", "8");
-	run_watch("servers/s1", "verona ready");
+	list_server("servers/s1", "verona ready");
 	tick(1000);
 	EXPECT_TRUE(servers().empty());
 	routes.push_back(route);
@@ -92,35 +96,39 @@
 	EXPECT_EQ(std::vector<std::string>{"s1"}, servers());
 }
 
-/* Guards against an item that is sent back to the service that it was cut
- * off from by a configuration. */
-TEST_F(GatewayItemFailure, GoesOnWhereTheRouteLeadsNow)
+/*
+ * Guards against an item that is sent again to the service that a newer
+ * configuration removed from its route.
+ */
+TEST_F(GatewayItemFailure, ResumesAtTheNewServiceOfItsRoute)
 {
-	run_watch("servers/s1", "verona ready");
+	list_server("servers/s1", "verona ready");
 	tick(200);
 	ASSERT_EQ(std::vector<std::string>{"s1"}, servers());
-	run_watch("servers/t1", "verona ready service=altri");
+	list_server("servers/t1", "verona ready service=altri");
 	move_route();
 	ASSERT_EQ(std::vector<std::string>{"s1"}, servers());
-	happens(said.begin()->first, JJ_BACKEND_BROKEN);
+	report_event(outcomes.begin()->first, JJ_BACKEND_BROKEN);
 	tick(1000);
 	EXPECT_EQ((std::vector<std::string>{"s1", "t1"}), servers());
 }
 
-/* Guards against an item that no server is ever given the time for: each
- * first event comes later than a silent stream is moved. */
-TEST_F(GatewayItemFailure, ThatIsSlowToBeginIsGivenLonger)
+/*
+ * Guards against an item that never ends, as each first event comes later than
+ * the time after which a stalled stream is moved.
+ */
+TEST_F(GatewayItemFailure, GetsMoreTimeWhenItsFirstEventIsLate)
 {
 	constexpr jj_ms_t FIRST_MS = 2200;
 	jj_ms_t sent_ms = 0;
 	size_t seen = 0;
 
-	run_watch("servers/s1", "verona ready");
+	list_server("servers/s1", "verona ready");
 	for (int i = 0; i < 600 && sent_ms == 0; i++) {
 		tick(50);
-		if (said.empty())
+		if (outcomes.empty())
 			continue;
-		const Said &item = said.begin()->second;
+		const RequestOutcome &item = outcomes.begin()->second;
 		if (item.servers.size() > seen) {
 			seen = item.servers.size();
 			started_ms = now;
--- a/tests/core/gateway_lend_test.cc
+++ b/tests/core/gateway_lend_test.cc
@@ -1,6 +1,6 @@
 /**
  * @file gateway_lend_test.cc
- * @brief A VM that does not reach the platform, or a server, beside others.
+ * @brief VMs that can't reach the platform, or a server, while others can.
  */
 #include "tests/core/gateway_fleet.h"
 
@@ -12,9 +12,10 @@
 };
 
 /*
- * A VM was cut off from the platform alone for ten seconds. It was sent jobs
- * all the time, accepted none of them, and their clients met the same VMs
- * again. Its neighbours, whom it heard, reached the platform.
+ * Guards against jobs that a VM refuses while its neighbours reach the
+ * platform. A VM lost its connection to the platform alone for ten seconds. It
+ * received jobs all the time and accepted none, and the clients' retries
+ * reached the same VMs again.
  */
 TEST_F(Lend, AVmThatIsCutOffAcceptsJobsThroughANeighbour)
 {
@@ -29,27 +30,36 @@
 	int before = vms["verona-1"].calls;
 	(void)submit("verona-1", "k");
 	run(200);
-	EXPECT_EQ(before, vms["verona-1"].calls) << "no call waits in vain";
+	EXPECT_EQ(before, vms["verona-1"].calls)
+	    << "no call of its own times out at the platform";
 }
 
-/* The neighbour that is asked is cut off too, or does not answer: the next
- * one is asked. */
-TEST_F(Lend, ANeighbourThatCannotIsPassedOver)
+/*
+ * The first lender can't reach the platform either, or does not answer: the
+ * next neighbour is asked.
+ */
+TEST_F(Lend, ANeighbourThatCannotHelpIsSkipped)
 {
-	for (bool deaf : {false, true}) {
+	for (bool loses_messages : {false, true}) {
 		vms["verona-1"].cut = JJ_PLATFORM_UNKNOWN;
-		vms["verona-2"].cut = deaf ? JJ_PLATFORM_OK : JJ_PLATFORM_DOWN;
-		vms["verona-2"].deaf = deaf;
-		uint64_t operation = submit("verona-1", deaf ? "a" : "b");
+		vms["verona-2"].cut =
+		    loses_messages ? JJ_PLATFORM_OK : JJ_PLATFORM_DOWN;
+		vms["verona-2"].loses_messages = loses_messages;
+		uint64_t operation =
+		    submit("verona-1", loses_messages ? "a" : "b");
 		run(2500);
-		EXPECT_EQ(202, vms["verona-1"].answers[operation]) << deaf;
+		EXPECT_EQ(202, vms["verona-1"].answers[operation])
+		    << loses_messages;
 		EXPECT_EQ(1U,
 		    platform.objects.count(
-			deaf ? "batch-jobs/a" : "batch-jobs/b"));
+			loses_messages ? "batch-jobs/a" : "batch-jobs/b"));
 	}
 }
 
-/* All are cut off: the submission ends in time, and nothing goes round. */
+/*
+ * No VM reaches the platform: the submission ends in time, and calls are not
+ * passed from VM to VM.
+ */
 TEST_F(Lend, WhereNobodyReachesThePlatformNothingIsAccepted)
 {
 	for (auto &vm : vms)
@@ -62,10 +72,11 @@
 }
 
 /*
- * Nobody reached the platform, and 66 VMs sent their jobs, 0.1 MB each, from
- * one to the next: 1.7 GB in a minute, and servers were told too late.
+ * Guards against a flood of borrowed calls. While no VM reached the platform,
+ * 66 VMs sent their jobs of 0.1 MB each from one to the next: 1.7 GB in a
+ * minute, and messages to servers came too late.
  */
-TEST_F(Lend, ManyJobsDoNotGoRoundWhileNobodyReachesThePlatform)
+TEST_F(Lend, ManyJobsAreNotPassedOnWhileNoVmReachesThePlatform)
 {
 	for (auto &vm : vms)
 		vm.second.cut = JJ_PLATFORM_DOWN;
@@ -75,9 +86,11 @@
 	EXPECT_LE(vms["verona-1"].events["platform_call_lent"], 4000 / 500 + 1);
 }
 
-/* One VM cannot connect to a server: the others hear of it before they send
- * online requests there, each to wait for a connection in vain. */
-TEST_F(Lend, WhatOneVmCannotReachTheOthersDoubt)
+/*
+ * One VM cannot connect to a server: it notifies the others before they send
+ * online requests there that would wait for a connection in vain.
+ */
+TEST_F(Lend, WhatOneVmCannotReachTheOthersSuspect)
 {
 	jj_gateway_request_t request = {};
 	jj_backend_event_t event = {};
@@ -104,8 +117,10 @@
 	}
 }
 
-/* A limit is an answer: it is kept, not passed by through a neighbour. */
-TEST_F(Lend, ALimitIsNotPassedBy)
+/*
+ * A rate limit is an answer: it is respected, not bypassed through a neighbour.
+ */
+TEST_F(Lend, ARateLimitIsNotBypassed)
 {
 	vms["verona-1"].cut = JJ_PLATFORM_LIMITED;
 	uint64_t operation = submit("verona-1", "j");
@@ -115,19 +130,19 @@
 	EXPECT_EQ(0U, platform.objects.count("batch-jobs/j"));
 }
 
-/* Reached again: its calls are its own. */
-TEST_F(Lend, AVmThatReachesThePlatformAgainAsksNobody)
+/* Once the platform is reachable again, the VM makes its calls itself. */
+TEST_F(Lend, AVmThatReachesThePlatformAgainBorrowsNoCalls)
 {
 	vms["verona-1"].cut = JJ_PLATFORM_DOWN;
 	(void)submit("verona-1", "j");
 	run(6000);
 	vms["verona-1"].cut = JJ_PLATFORM_OK;
 	run(6000);
-	int lent = vms["verona-1"].events["platform_call_lent"];
+	int borrowed = vms["verona-1"].events["platform_call_lent"];
 	uint64_t operation = submit("verona-1", "k");
 	run(500);
 	EXPECT_EQ(202, vms["verona-1"].answers[operation]);
-	EXPECT_EQ(lent, vms["verona-1"].events["platform_call_lent"]);
+	EXPECT_EQ(borrowed, vms["verona-1"].events["platform_call_lent"]);
 	EXPECT_EQ(1, vms["verona-1"].events["platform_reached"]);
 }
 
--- a/tests/core/gateway_limits_test.cc
+++ b/tests/core/gateway_limits_test.cc
@@ -1,6 +1,6 @@
 /**
  * @file gateway_limits_test.cc
- * @brief More jobs, servers and bytes than one message between VMs holds.
+ * @brief More jobs, servers and bytes than one message between VMs can hold.
  */
 #include <set>
 
@@ -19,7 +19,10 @@
 	explicit Limits(int vms = 3) : GatewayFleet(vms)
 	{
 	}
-	/** Messages of a kind between two VMs in that time. */
+	/**
+	 * Passes each message of a kind to that VM, sent within that time, to
+	 * @p take.
+	 */
 	template <typename Take>
 	void
 	watch_messages(const std::string &to, jj_message_kind_t kind,
@@ -36,31 +39,35 @@
 	}
 };
 
-/* Guards against jobs that other VMs know nothing of, as their VM runs more
- * than one message tells: all their tokens count as waiting. */
-TEST_F(Limits, AllJobsOfAVmAreTold)
+/*
+ * Guards against jobs that other VMs don't know, as their VM runs more than fit
+ * into one message: all their tokens would count as waiting.
+ */
+TEST_F(Limits, AllJobsOfAVmAreReported)
 {
 	constexpr size_t JOBS = 3 * JJ_MESSAGE_JOB_STATES_MAX + 1;
-	std::set<uint64_t> told;
+	std::set<uint64_t> reported;
 
 	for (size_t i = 0; i < JOBS; i++)
 		(void)submit("verona-1", "j" + std::to_string(i));
 	watch_messages("verona-2", JJ_MESSAGE_JOB_STATES, 1000,
-	    [&told](const jj_message_t &message) {
+	    [&reported](const jj_message_t &message) {
 		    const auto &states = message.body.job_states;
 
 		    for (uint32_t i = 0; i < states.count; i++)
-			    told.insert(states.states[i].job);
+			    reported.insert(states.states[i].job);
 	    });
-	EXPECT_EQ(JOBS, told.size());
+	EXPECT_EQ(JOBS, reported.size());
 }
 
-/* Guards against places that others hold for free or taken for good, as a VM
- * has requests at more servers than a heartbeat tells. */
-TEST_F(Limits, AllLoadsOfAVmAreTold)
+/*
+ * Guards against slots that other VMs take as free, or as taken forever, when a
+ * VM has requests at more servers than fit into a heartbeat.
+ */
+TEST_F(Limits, AllLoadsOfAVmAreReported)
 {
 	constexpr int SERVERS = 2 * 128 + 1;
-	size_t told = 0;
+	size_t reported = 0;
 
 	for (int i = 2; i <= SERVERS; i++)
 		see("verona-1", 2, ("servers/s" + std::to_string(i)).c_str(),
@@ -68,15 +75,15 @@
 	for (int i = 0; i < SERVERS; i++)
 		(void)begin("verona-1", "/online/x");
 	watch_messages("verona-2", JJ_MESSAGE_HEARTBEAT, 1000,
-	    [&told](const jj_message_t &message) {
-		    const auto &beat = message.body.heartbeat;
+	    [&reported](const jj_message_t &message) {
+		    const auto &heartbeat = message.body.heartbeat;
 		    std::set<uint64_t> servers;
 
-		    for (uint32_t i = 0; i < beat.load_count; i++)
-			    servers.insert(beat.loads[i].server);
-		    told = std::max(told, servers.size());
+		    for (uint32_t i = 0; i < heartbeat.load_count; i++)
+			    servers.insert(heartbeat.loads[i].server);
+		    reported = std::max(reported, servers.size());
 	    });
-	EXPECT_EQ((size_t)SERVERS, told);
+	EXPECT_EQ((size_t)SERVERS, reported);
 }
 
 class RelayLimits : public Limits
@@ -94,7 +101,7 @@
 		platform.put("vms/" + name,
 		    R"({"domain":"verona","region":"pianura","address":"a:1"})");
 	}
-	/** One poll of the relay brings all versions of one object. */
+	/** One poll of the relay returns several versions of one object. */
 	void
 	poll(const std::vector<std::string> &values)
 	{
@@ -142,9 +149,11 @@
 	}
 };
 
-/* Guards against news that no VM of a domain gets, as several versions of the
- * largest object in one poll are more than a message holds. */
-TEST_F(RelayLimits, VersionsOfOnePollTravel)
+/*
+ * Guards against updates that no VM of a domain gets, as several versions of
+ * the largest object in one poll exceed the size of a message.
+ */
+TEST_F(RelayLimits, AllVersionsOfOnePollAreRelayed)
 {
 	std::string large = "9 \"" + std::string(JJ_OBJECT_VALUE_MAX - 8, '"');
 
--- a/tests/core/gateway_line_test.cc
+++ b/tests/core/gateway_line_test.cc
@@ -1,6 +1,7 @@
 /**
  * @file gateway_line_test.cc
- * @brief Who waits, who is refused, when one server's two places are taken.
+ * @brief Which requests wait and which are refused when both slots of the only
+ * server are taken.
  */
 #include "tests/core/gateway_fixture.h"
 
@@ -16,26 +17,32 @@
 			route.target_ms = 300;
 		see(1, "config/main", "8");
 		for (int i = 0; i < 2; i++)
-			held.push_back(begin("/once/1"));
-		for (uint64_t request : held)
-			happens(request, JJ_BACKEND_FIRST);
+			running.push_back(begin("/once/1"));
+		for (uint64_t request : running)
+			report_event(request, JJ_BACKEND_FIRST);
 		jj_slots_note_first(server("s1"), 18, now);
 		jj_slots_note_hold(server("s1"), 600);
 	}
-	std::vector<uint64_t> held;
+	std::vector<uint64_t> running;
 };
 
-/* It would be late behind them: it is told so at once, with all its time. */
+/*
+ * It would be late behind the running requests: it is refused at once, with all
+ * its time left for a retry.
+ */
 TEST_F(GatewayLine, ANewRequestThatCannotBeInTimeIsRefusedAtOnce)
 {
 	uint64_t request = begin("/once/1");
 
 	EXPECT_EQ(0U, attempts(request));
 	expect_end(request, JJ_GIVE_UP_OVERLOADED, JJ_RUN_NOT_RUN);
-	EXPECT_GT(said[request].answer.retry_after_ms, 0);
+	EXPECT_GT(outcomes[request].answer.retry_after_ms, 0);
 }
 
-/* Places that are held for 100 ms are free in time: it waits at the server. */
+/*
+ * With a service time of 100 ms a slot is free in time: the request waits at
+ * the server.
+ */
 TEST_F(GatewayLine, ANewRequestWaitsAtAServerWhoseQueueIsShort)
 {
 	for (int i = 0; i < 60; i++)
@@ -43,60 +50,64 @@
 	EXPECT_EQ(1U, attempts(begin("/once/1")));
 }
 
-/* Its time is short already: it waits for a place that comes free. */
-TEST_F(GatewayLine, AReturnedRequestWaitsForAFreePlace)
+/* It has used up part of its time: it waits for a slot to become free. */
+TEST_F(GatewayLine, ARetriedRequestWaitsForAFreeSlot)
 {
 	uint64_t request = begin("/once/1", 0, 3000);
 
 	EXPECT_EQ(0U, attempts(request));
-	EXPECT_EQ(0, said[request].answers);
+	EXPECT_EQ(0, outcomes[request].answers);
 	tick(25);
 	EXPECT_EQ(0U, attempts(request));
-	happens(held[0], JJ_BACKEND_DONE, 200, true);
+	report_event(running[0], JJ_BACKEND_DONE, 200, true);
 	EXPECT_EQ(1U, attempts(request));
 }
 
-/* A place that comes free goes to the one that came last; the others may
- * still find one, or are told to come back, long before their time is over. */
-TEST_F(GatewayLine, WhoFindsNoPlaceIsRefusedLongBeforeItsTimeIsOver)
+/*
+ * A free slot goes to the request that came last. The others are refused long
+ * before their time is over, and may find a slot elsewhere.
+ */
+TEST_F(GatewayLine, ARequestWithoutASlotIsRefusedLongBeforeItsTimeIsOver)
 {
 	uint64_t first = begin("/once/1", 0, 3000);
 	uint64_t second = begin("/once/1", 0, 3000);
 
-	happens(held[0], JJ_BACKEND_DONE, 200, true);
+	report_event(running[0], JJ_BACKEND_DONE, 200, true);
 	EXPECT_EQ(0U, attempts(first));
 	EXPECT_EQ(1U, attempts(second));
 	for (int i = 0; i < 39; i++)
 		tick(25);
-	EXPECT_EQ(0, said[first].answers);
+	EXPECT_EQ(0, outcomes[first].answers);
 	tick(25);
 	expect_end(first, JJ_GIVE_UP_OVERLOADED, JJ_RUN_NOT_RUN);
 }
 
-/* A caller that leaves the line is forgotten; the next one gets the place. */
-TEST_F(GatewayLine, ACallerThatLeavesTheLineIsForgotten)
+/*
+ * A caller disconnects while its request is queued: the next one gets the slot.
+ */
+TEST_F(GatewayLine, ACallerThatLeavesTheQueueIsForgotten)
 {
 	uint64_t stays = begin("/once/1", 0, 3000);
 	uint64_t leaves = begin("/once/1", 0, 3000);
 
 	jj_gateway_take_gone(gateway, leaves, now, &out);
-	settle();
-	happens(held[0], JJ_BACKEND_DONE, 200, true);
+	run_actions();
+	report_event(running[0], JJ_BACKEND_DONE, 200, true);
 	EXPECT_EQ(0U, attempts(leaves));
 	EXPECT_EQ(1U, attempts(stays));
 }
 
-/* A stream that may have run is moved however long the queues are. */
-TEST_F(GatewayLine, WhatMayHaveRunIsNotRefusedForTheQueue)
+/* A stream that may have run is moved regardless of the queues. */
+TEST_F(GatewayLine, ARequestThatMayHaveRunIsNotRefusedForTheQueue)
 {
 	see(2, "servers/s2", "verona ready");
 	uint64_t moved = begin("/again/1");
 
-	ASSERT_EQ("s2", said[moved].servers[0]);
-	happens(moved, JJ_BACKEND_FIRST, 200, true);
-	held.push_back(begin("/once/1"));
+	ASSERT_EQ("s2", outcomes[moved].servers[0]);
+	report_event(moved, JJ_BACKEND_FIRST, 200, true);
+	running.push_back(begin("/once/1"));
 	jj_slots_note_hold(server("s2"), 600);
-	happens(moved, JJ_BACKEND_BROKEN, 0, true);
+	report_event(moved, JJ_BACKEND_BROKEN, 0, true);
 	EXPECT_EQ(2U, attempts(moved));
 }
 
--- a/tests/core/gateway_servers_test.cc
+++ b/tests/core/gateway_servers_test.cc
@@ -1,6 +1,6 @@
 /**
  * @file gateway_servers_test.cc
- * @brief Servers that start again under their ids, entries of other writers.
+ * @brief Servers that restart under their ids, and entries of other writers.
  */
 #include "tests/core/gateway_fixture.h"
 #include "tests/core/gateway_fleet.h"
@@ -8,20 +8,23 @@
 namespace
 {
 
-/** Tokens of the fixture's watches. */
-constexpr int SERVERS = 2;
+/** Token of the fixture's watch of servers. */
+constexpr int SERVERS_TOKEN = 2;
 
 class GatewayServer : public Gateway
 {
       protected:
 	void
-	start_at(const char *text)
+	list_server(const char *text)
 	{
-		see(SERVERS, "servers/s1", text);
+		see(SERVERS_TOKEN, "servers/s1", text);
 	}
-	/** Ticks so long that requests of a process that is gone are moved. */
+	/**
+	 * Ticks for that time, so that requests of a process that is gone are
+	 * moved.
+	 */
 	void
-	let_pass(jj_ms_t ms)
+	advance(jj_ms_t ms)
 	{
 		for (jj_ms_t until = now + ms; now < until;)
 			tick(25);
@@ -29,188 +32,192 @@
 };
 
 /*
- * A server failed, rested long and was slow. Its process starts again under
- * the same id: it is another one, of which nothing of that is true.
+ * A server failed, was in a long cool-down and was slow. When its process
+ * restarts under the same id, none of that applies to the new process.
  */
-TEST_F(GatewayServer, AnotherStartIsAnotherServer)
+TEST_F(GatewayServer, ARestartedServerIsAnotherServer)
 {
-	start_at("verona ready -20");
+	list_server("verona ready -20");
 	jj_slot_server_t *old = server("s1");
 	uint64_t hash = old->hash;
 	uint64_t request = begin("/once/1");
 
 	jj_slots_note_first(old, 900, now);
-	happens(request, JJ_BACKEND_BROKEN);
+	report_event(request, JJ_BACKEND_BROKEN);
 	ASSERT_GT(old->failures, 0U);
 	ASSERT_GT(old->rest_until_ms, now);
-	start_at("verona ready -2");
+	list_server("verona ready -2");
 	ASSERT_NE(nullptr, server("s1"));
 	EXPECT_NE(hash, server("s1")->hash);
 	EXPECT_EQ(0U, server("s1")->failures);
 	EXPECT_EQ(0, server("s1")->first_ms);
-	EXPECT_EQ("s1", said[begin("/once/1")].servers[0]);
+	EXPECT_EQ("s1", outcomes[begin("/once/1")].servers[0]);
 }
 
 /*
- * A server that is behind a cut crashes and starts again under its id. No
- * connection is reset: what ran there would wait for its time limit, and an
- * item for a stall of seconds. Its new start shows that the process is gone.
+ * Guards against requests that wait for a process that is gone. A server behind
+ * a network cut crashes and restarts under its id. No connection is reset:
+ * requests there would wait for their time limit, and items for a stall of
+ * seconds. The new start time shows that the process is gone.
  */
-TEST_F(GatewayServer, WhatRanAtTheOldStartIsMoved)
+TEST_F(GatewayServer, RequestsOfTheOldProcessAreMoved)
 {
-	start_at("verona ready -20");
+	list_server("verona ready -20");
 	uint64_t again = begin("/again/1");
 	uint64_t once = begin("/once/1");
 
-	happens(again, JJ_BACKEND_FIRST, 200, true);
-	happens(once, JJ_BACKEND_FIRST, 200, true);
-	start_at("verona ready -2");
-	EXPECT_EQ(1U, attempts(again)) << "what it sent is read first";
-	let_pass(250);
+	report_event(again, JJ_BACKEND_FIRST, 200, true);
+	report_event(once, JJ_BACKEND_FIRST, 200, true);
+	list_server("verona ready -2");
+	EXPECT_EQ(1U, attempts(again)) << "its earlier output is read first";
+	advance(250);
 	ASSERT_EQ(2U, attempts(again));
-	EXPECT_EQ("s1", said[again].servers[1]);
-	EXPECT_EQ(1U, said[again].cancelled.size());
+	EXPECT_EQ("s1", outcomes[again].servers[1]);
+	EXPECT_EQ(1U, outcomes[again].cancelled.size());
 	EXPECT_EQ(1U, attempts(once));
 	expect_end(once, JJ_GIVE_UP_BROKEN, JJ_RUN_UNKNOWN);
 	EXPECT_EQ(1U, server("s1")->online);
 }
 
-/* The old process had answered before its end: the answer counts. */
-TEST_F(GatewayServer, AnAnswerOfTheOldStartIsTaken)
+/* The old process answered before it ended: the answer counts. */
+TEST_F(GatewayServer, AnAnswerOfTheOldProcessIsAccepted)
 {
-	start_at("verona ready -20");
+	list_server("verona ready -20");
 	uint64_t once = begin("/once/1");
 
-	happens(once, JJ_BACKEND_FIRST);
-	start_at("verona ready -2");
-	happens(once, JJ_BACKEND_DONE, 200, true);
-	let_pass(300);
-	EXPECT_EQ(0, said[once].answers);
+	report_event(once, JJ_BACKEND_FIRST);
+	list_server("verona ready -2");
+	report_event(once, JJ_BACKEND_DONE, 200, true);
+	advance(300);
+	EXPECT_EQ(0, outcomes[once].answers);
 	EXPECT_EQ(0U, jj_gateway_in_flight(gateway, JJ_CLASS_ONLINE));
 }
 
 /*
- * The platform is away while a server starts again; the VM learns of it from
- * the list that it reads after that, not from a change.
+ * A server restarts while the platform is unreachable; the VM learns of it from
+ * the next full list, not from a change.
  */
-TEST_F(GatewayServer, ANewStartIsFoundInANewList)
+TEST_F(GatewayServer, ARestartIsFoundInANewList)
 {
-	start_at("verona ready -20");
+	list_server("verona ready -20");
 	uint64_t again = begin("/again/1");
 
-	happens(again, JJ_BACKEND_FIRST, 200, true);
+	report_event(again, JJ_BACKEND_FIRST, 200, true);
 	platform.put("servers/s1", "verona ready -1");
-	lose_history(SERVERS);
+	lose_history(SERVERS_TOKEN);
 	EXPECT_EQ(UNIX_MS - 1000, server("s1")->info.started_ms);
-	let_pass(250);
+	advance(250);
 	EXPECT_EQ(2U, attempts(again));
 }
 
 /*
- * A call of the old process is carried out by the store seconds late, after
- * the new process has written its entry. The new one goes on with what it has;
- * it gets nothing new until its entry stands there again.
+ * The store executes a call of the old process seconds late, after the new
+ * process has written its entry. Requests at the new process continue; it gets
+ * no new ones until its own entry is back.
  */
-TEST_F(GatewayServer, ALateWordOfTheOldStartReplacesNothing)
+TEST_F(GatewayServer, ALateEntryOfTheOldProcessReplacesNothing)
 {
-	start_at("verona ready -2");
+	list_server("verona ready -2");
 	uint64_t again = begin("/again/1");
 
-	happens(again, JJ_BACKEND_FIRST, 200, true);
-	start_at("verona ready -20");
+	report_event(again, JJ_BACKEND_FIRST, 200, true);
+	list_server("verona ready -20");
 	expect_end(begin("/once/1"), JJ_GIVE_UP_NO_SERVER, JJ_RUN_NOT_RUN);
-	let_pass(500);
-	EXPECT_EQ(1U, attempts(again)) << "its process lives";
-	start_at("verona ready -2");
+	advance(500);
+	EXPECT_EQ(1U, attempts(again)) << "its process is still running";
+	list_server("verona ready -2");
 	EXPECT_EQ(UNIX_MS - 2000, server("s1")->info.started_ms);
 	EXPECT_EQ(1U, attempts(begin("/once/1")));
 }
 
 /*
- * A server's clock was set back before it started again. Its entry is never
- * put right by a later start: after some seconds it is taken as it is.
+ * A server's clock was set back before it restarted. No later start ever
+ * corrects its entry: it is accepted after some seconds.
  */
-TEST_F(GatewayServer, AStartWithAnEarlierClockIsTakenInTheEnd)
+TEST_F(GatewayServer, ARestartWithAnEarlierClockIsAcceptedLater)
 {
-	start_at("verona ready -2");
-	start_at("verona ready -20");
-	let_pass(3900);
+	list_server("verona ready -2");
+	list_server("verona ready -20");
+	advance(3900);
 	expect_end(begin("/once/1"), JJ_GIVE_UP_NO_SERVER, JJ_RUN_NOT_RUN);
-	let_pass(200);
+	advance(200);
 	EXPECT_EQ(1U, attempts(begin("/once/1")));
 	EXPECT_EQ(UNIX_MS - 20000, server("s1")->info.started_ms);
 }
 
-/* A server leaves; another process starts under its id and takes work. */
+/* A server leaves; another process starts under its id and accepts work. */
 TEST_F(GatewayServer, ALaterStartEndsADrain)
 {
-	start_at("verona draining -20");
+	list_server("verona draining -20");
 	expect_end(begin("/once/1"), JJ_GIVE_UP_NO_SERVER, JJ_RUN_NOT_RUN);
-	start_at("verona ready -1");
+	list_server("verona ready -1");
 	EXPECT_EQ(1U, attempts(begin("/once/1")));
 }
 
 /*
- * A VM's watch was cut off for a moment while the store was well. Just then a
- * server left without a word: its entry was removed. The VM held it for lapsed
- * during an outage and sent it work for two seconds, four ms longer than a
- * server that leaves has to be served.
+ * Guards against new work for a server that is gone. A VM's watch failed for a
+ * moment while the store was fine. Just then a server left without notice and
+ * its entry was removed. The VM took the entry as expired during an outage and
+ * sent work there for two seconds, four ms longer than a leaving server has to
+ * be served.
  */
 TEST_F(GatewayServer, OneThatIsMissingAfterAFailureIsGone)
 {
 	for (const char *id : {"servers/s2", "servers/s3", "servers/s4"})
-		see(SERVERS, id, "verona ready");
-	end_watch(SERVERS, JJ_PLATFORM_UNKNOWN);
-	let_pass(100);
-	see(SERVERS, "servers/s1", "", true);
-	let_pass(25);
+		see(SERVERS_TOKEN, id, "verona ready");
+	end_watch(SERVERS_TOKEN, JJ_PLATFORM_UNKNOWN);
+	advance(100);
+	see(SERVERS_TOKEN, "servers/s1", "", true);
+	advance(25);
 	for (int i = 0; i < 8; i++)
-		EXPECT_NE("s1", said[begin("/once/1")].servers[0]);
+		EXPECT_NE("s1", outcomes[begin("/once/1")].servers[0]);
 }
 
 /*
- * The store was silent, and most entries lapsed: those servers live. The VM's
- * look had hung all the while and was answered in the end, so that it knew of
- * no outage; it dropped all servers at once.
+ * Guards against dropping live servers. The store did not answer, and most
+ * entries expired. The VM's watch was pending all the time and was answered in
+ * the end, so that the VM did not know of the outage; it dropped all servers at
+ * once.
  */
 TEST_F(GatewayServer, ManyThatAreMissingAreKept)
 {
 	for (const char *id : {"servers/s2", "servers/s3", "servers/s4"})
-		see(SERVERS, id, "verona ready");
+		see(SERVERS_TOKEN, id, "verona ready");
 	for (const char *id : {"servers/s1", "servers/s2", "servers/s3"})
-		see(SERVERS, id, "", true);
-	let_pass(25);
+		see(SERVERS_TOKEN, id, "", true);
+	advance(25);
 	std::set<std::string> used;
 	for (int i = 0; i < 8; i++)
-		used.insert(said[begin("/once/1")].servers[0]);
+		used.insert(outcomes[begin("/once/1")].servers[0]);
 	EXPECT_EQ(4U, used.size());
-	let_pass(2000);
+	advance(2000);
 	for (int i = 0; i < 3; i++) {
 		uint64_t request = begin("/once/1");
 
-		for (const std::string &name : said[request].servers)
+		for (const std::string &name : outcomes[request].servers)
 			EXPECT_EQ("s4", name);
 	}
 }
 
 /*
- * Servers that had said that they leave are gone, and one goes without a word.
- * Counted together they were as many as lapse in an outage, and the one was
- * sent work for 15 ms longer than it served.
+ * Guards against counting announced departures as missing. Servers that had
+ * announced that they leave were removed, and one left without notice. Counted
+ * together they were as many as expire in an outage, and that one was sent work
+ * for 15 ms longer than it served.
  */
-TEST_F(GatewayServer, ThoseThatSaidTheyLeaveDoNotCountAsMissing)
+TEST_F(GatewayServer, AnnouncedDeparturesDoNotCountAsMissing)
 {
 	for (const char *id : {"servers/s2", "servers/s3", "servers/s4"})
-		see(SERVERS, id, "verona ready");
+		see(SERVERS_TOKEN, id, "verona ready");
 	for (const char *id : {"servers/s2", "servers/s3"})
-		see(SERVERS, id, "verona draining");
+		see(SERVERS_TOKEN, id, "verona draining");
 	for (const char *id : {"servers/s1", "servers/s2", "servers/s3"})
-		see(SERVERS, id, "", true);
-	let_pass(25);
+		see(SERVERS_TOKEN, id, "", true);
+	advance(25);
 	for (int i = 0; i < 3; i++) {
 		uint64_t request = begin("/once/1");
 
-		for (const std::string &name : said[request].servers)
+		for (const std::string &name : outcomes[request].servers)
 			EXPECT_EQ("s4", name);
 	}
 }
@@ -226,25 +233,25 @@
 };
 
 /*
- * Another writer puts something under the id of a server in use. It names no
- * server to use; what runs there goes on, other servers hold, and the server
- * is back, as the same one, when its own entry stands there again.
+ * Another writer overwrites the entry of a server in use. The entry describes
+ * no usable server; requests there continue, other servers take the new ones,
+ * and the server is back, as the same process, when its own entry is restored.
  */
-TEST_P(GatewayEntry, NamesNoServerUntilItIsGoodAgain)
+TEST_P(GatewayEntry, DescribesNoServerUntilItIsValidAgain)
 {
-	see(SERVERS, "servers/s2", "verona ready -30");
-	start_at("verona ready -20");
+	see(SERVERS_TOKEN, "servers/s2", "verona ready -30");
+	list_server("verona ready -20");
 	server("s2")->info.draining = true;
 	uint64_t again = begin("/again/1");
 
-	happens(again, JJ_BACKEND_FIRST, 200, true);
+	report_event(again, JJ_BACKEND_FIRST, 200, true);
 	server("s2")->info.draining = false;
-	start_at(GetParam().text);
+	list_server(GetParam().text);
 	for (int i = 0; i < 3; i++)
-		EXPECT_EQ("s2", said[begin("/once/1")].servers[0]);
-	let_pass(300);
+		EXPECT_EQ("s2", outcomes[begin("/once/1")].servers[0]);
+	advance(300);
 	EXPECT_EQ(1U, attempts(again));
-	start_at("verona ready -20");
+	list_server("verona ready -20");
 	EXPECT_EQ(1U, server("s1")->online) << "the same server";
 	EXPECT_FALSE(server("s1")->replaced);
 }
@@ -274,11 +281,11 @@
 };
 
 /*
- * One VM knows of a server's new start, the other not yet. What that one runs
- * and believes is of the process that is gone: it fills no place of the new
- * one and casts no doubt on it.
+ * One VM knows that a server has restarted, the other does not yet. What the
+ * other VM reports concerns the process that is gone: it takes no slot of the
+ * new one and does not make it suspect.
  */
-TEST_F(GatewayViews, NewsOfTheOldStartDoNotCountForTheNew)
+TEST_F(GatewayViews, ReportsOnTheOldProcessDoNotCountForTheNew)
 {
 	see_server("verona-1", "verona ready -20");
 	see_server("verona-2", "verona ready -20");
--- a/tests/core/gateway_test.cc
+++ b/tests/core/gateway_test.cc
@@ -1,6 +1,7 @@
 /**
  * @file gateway_test.cc
- * @brief Requests through a VM that serves routes, whatever servers do.
+ * @brief Requests through a VM that serves routes, with all kinds of server
+ * failures.
  */
 #include <cstdio>
 #include <memory>
@@ -15,7 +16,7 @@
 namespace
 {
 
-/** Number of the first item's request; the next ones follow. */
+/** Request number of the first item; the next ones follow. */
 constexpr uint64_t FIRST_ITEM = (UINT64_C(1) << 62) + 1;
 
 class GatewayFailure : public Gateway
@@ -27,10 +28,10 @@
 	uint64_t request = begin("/once/1");
 
 	ASSERT_EQ(1U, attempts(request));
-	EXPECT_EQ("s1", said[request].servers[0]);
-	happens(request, JJ_BACKEND_FIRST);
-	happens(request, JJ_BACKEND_DONE, 200, true);
-	EXPECT_EQ(0, said[request].answers) << "its answer went by the relay";
+	EXPECT_EQ("s1", outcomes[request].servers[0]);
+	report_event(request, JJ_BACKEND_FIRST);
+	report_event(request, JJ_BACKEND_DONE, 200, true);
+	EXPECT_EQ(0, outcomes[request].answers) << "its answer was relayed";
 	EXPECT_EQ(0U, jj_gateway_in_flight(gateway, JJ_CLASS_ONLINE));
 	EXPECT_EQ(0U, server("s1")->online);
 }
@@ -63,7 +64,7 @@
 	see(2, "servers/s2", "verona ready");
 	see(2, "servers/s1", "verona draining");
 	for (int i = 0; i < 3; i++)
-		EXPECT_EQ("s2", said[begin("/once/1")].servers[0]);
+		EXPECT_EQ("s2", outcomes[begin("/once/1")].servers[0]);
 	see(2, "servers/s2", "", true);
 	expect_end(begin("/once/1"), JJ_GIVE_UP_NO_SERVER, JJ_RUN_NOT_RUN);
 }
@@ -73,7 +74,10 @@
 	platform.put("retire/verona-1", "{}");
 	platform.put("retire/verona-2", "{}");
 	create(false);
-	/* The fake store knows no status: the call itself is what counts. */
+	/*
+	 * The fake store does not support status writes: only the call itself
+	 * counts.
+	 */
 	EXPECT_GT(platform.reads, 0);
 	EXPECT_TRUE(watches.count(3) == 1) << "only orders are watched";
 	EXPECT_EQ(1U, watches.size());
@@ -84,7 +88,8 @@
 	const char *path;
 	jj_backend_kind_t kind;
 	bool relayed;
-	size_t attempts; /**< in all, when each one fails alike */
+	/** expected number of attempts when each one fails in this way */
+	size_t attempts;
 	jj_run_t run;
 };
 
@@ -93,21 +98,24 @@
 {
 };
 
-/* What is sent again, how often, and what the caller is told of its run. */
+/*
+ * Which requests are sent again, how often, and what the caller learns of their
+ * run.
+ */
 TEST_P(GatewayFails, IsSentAgainOnlyWhereAllowed)
 {
 	see(2, "servers/s2", "verona ready");
 	uint64_t request = begin(GetParam().path);
 
-	for (int i = 0; i < 9 && said[request].answers == 0; i++) {
+	for (int i = 0; i < 9 && outcomes[request].answers == 0; i++) {
 		if (GetParam().relayed)
-			happens(request, JJ_BACKEND_FIRST);
-		happens(request, GetParam().kind, 0, GetParam().relayed);
+			report_event(request, JJ_BACKEND_FIRST);
+		report_event(request, GetParam().kind, 0, GetParam().relayed);
 		now += 1000;
 	}
 	EXPECT_EQ(GetParam().attempts, attempts(request));
-	EXPECT_EQ(1, said[request].answers);
-	EXPECT_EQ(GetParam().run, said[request].answer.run);
+	EXPECT_EQ(1, outcomes[request].answers);
+	EXPECT_EQ(GetParam().run, outcomes[request].answer.run);
 	EXPECT_EQ(0U, jj_gateway_in_flight(gateway, JJ_CLASS_ONLINE));
 }
 
@@ -130,53 +138,56 @@
 	    JJ_RUN_UNKNOWN}),
     [](const auto &info) { return std::string(info.param.name); });
 
-/* A request's time is up: it is answered then, and stopped at its server. */
+/*
+ * A request's time is over: it is answered then, and cancelled at its server.
+ */
 TEST_F(GatewayFailure, ATimeLimitIsKept)
 {
 	uint64_t request = begin("/once/1");
 
 	tick(3990);
-	EXPECT_EQ(0, said[request].answers);
+	EXPECT_EQ(0, outcomes[request].answers);
 	tick(10);
 	expect_end(request, JJ_GIVE_UP_DEADLINE, JJ_RUN_UNKNOWN);
-	EXPECT_EQ(1U, said[request].cancelled.size());
+	EXPECT_EQ(1U, outcomes[request].cancelled.size());
 }
 
-/* A server falls silent in the middle of a stream that may go on elsewhere. */
-TEST_F(GatewayFailure, ASilentStreamIsMovedWhereItMayBe)
+/* A server sends no more events in the middle of a resumable stream. */
+TEST_F(GatewayFailure, AStalledStreamIsMovedIfResumable)
 {
 	see(2, "servers/s2", "verona ready");
 	uint64_t again = begin("/again/1");
 	uint64_t once = begin("/once/1");
 
-	happens(again, JJ_BACKEND_FIRST);
-	happens(once, JJ_BACKEND_FIRST);
+	report_event(again, JJ_BACKEND_FIRST);
+	report_event(once, JJ_BACKEND_FIRST);
 	tick(1600);
 	EXPECT_EQ(2U, attempts(again));
-	EXPECT_NE(said[again].servers[0], said[again].servers[1]);
-	EXPECT_EQ(1U, said[again].cancelled.size());
-	EXPECT_EQ(1U, attempts(once)) << "silence is no reason to end it";
-	EXPECT_EQ(0, said[once].answers);
+	EXPECT_NE(outcomes[again].servers[0], outcomes[again].servers[1]);
+	EXPECT_EQ(1U, outcomes[again].cancelled.size());
+	EXPECT_EQ(1U, attempts(once))
+	    << "missing events are no reason to end it";
+	EXPECT_EQ(0, outcomes[once].answers);
 }
 
-/* The caller hangs up: its request is stopped at once. */
-TEST_F(GatewayFailure, ACallerThatLeavesFreesItsPlace)
+/* The caller disconnects: its request is cancelled at once. */
+TEST_F(GatewayFailure, ACallerThatDisconnectsFreesItsSlot)
 {
 	uint64_t request = begin("/once/1");
 
 	jj_gateway_take_gone(gateway, request, now, &out);
-	settle();
-	EXPECT_EQ(1U, said[request].cancelled.size());
+	run_actions();
+	EXPECT_EQ(1U, outcomes[request].cancelled.size());
 	EXPECT_EQ(0U, server("s1")->online);
-	happens(request, JJ_BACKEND_DONE);
-	EXPECT_EQ(0, said[request].answers);
+	report_event(request, JJ_BACKEND_DONE);
+	EXPECT_EQ(0, outcomes[request].answers);
 }
 
 /*
- * Batch fills the places that online leaves. A burst comes: the items are cut
- * before the requests get there, and go on when it is over.
+ * Items use the slots that online requests leave free. In a burst they are
+ * preempted before the requests arrive, and resume when it is over.
  */
-TEST_F(GatewayFailure, OnlineTakesPlacesOfBatch)
+TEST_F(GatewayFailure, OnlineRequestsPreemptBatch)
 {
 	submit("j", 4);
 	tick(50);
@@ -187,21 +198,22 @@
 	uint64_t second = begin("/once/2");
 	EXPECT_EQ(0U, server("s1")->batch);
 	EXPECT_EQ(4U, jj_gateway_waiting_items(gateway));
-	happens(first, JJ_BACKEND_DONE);
-	happens(second, JJ_BACKEND_DONE);
+	report_event(first, JJ_BACKEND_DONE);
+	report_event(second, JJ_BACKEND_DONE);
 	tick(50);
 	EXPECT_EQ(2U, server("s1")->batch);
 }
 
 /*
- * After a cut VMs did not hear each other and each filled all places with its
- * items; online requests waited 600 ms behind them. An item that waits too
- * long for its first event goes away and comes back only later, to servers
- * that nobody crowds first.
+ * Guards against online requests that wait behind items of several VMs. After a
+ * network cut VMs did not exchange heartbeats and each filled all slots with
+ * its items; online requests waited 600 ms behind them. An item that waits too
+ * long for its first event is removed and sent again only later, first to
+ * servers that are not crowded.
  */
-TEST_F(GatewayFailure, AnItemThatFindsNoPlaceLeavesTheServer)
+TEST_F(GatewayFailure, AnItemThatFindsNoSlotLeavesTheServer)
 {
-	happens(begin("/once/1"), JJ_BACKEND_DONE);
+	report_event(begin("/once/1"), JJ_BACKEND_DONE);
 	submit("j", 1);
 	tick(50);
 	EXPECT_EQ(1U, server("s1")->batch);
@@ -217,11 +229,11 @@
 }
 
 /*
- * A backlog: an item that was late already ran before one that could have
- * been in time, and so made it late too. It runs behind, and it is the one
- * that gives its place to an online request.
+ * Guards against overdue items that delay others. In a backlog an overdue item
+ * ran before one that could have been in time, and so made that one late too.
+ * Overdue items run last, and are the first to be preempted.
  */
-TEST_F(GatewayFailure, LateItemsRunBehindThoseThatCanBeInTime)
+TEST_F(GatewayFailure, OverdueItemsRunAfterThoseThatCanBeInTime)
 {
 	constexpr jj_ms_t DUE_MS = 18000;
 
@@ -235,24 +247,24 @@
 	EXPECT_EQ(1U, attempts(late + 1));
 	EXPECT_EQ(1U, attempts(late + 2));
 	EXPECT_EQ(0U, attempts(late));
-	happens(late + 1, JJ_BACKEND_DONE);
+	report_event(late + 1, JJ_BACKEND_DONE);
 	tick(50);
 	EXPECT_EQ(1U, attempts(late));
 	(void)begin("/once/1");
-	EXPECT_EQ(1U, said[late].cancelled.size());
-	EXPECT_EQ(0U, said[late + 2].cancelled.size());
+	EXPECT_EQ(1U, outcomes[late].cancelled.size());
+	EXPECT_EQ(0U, outcomes[late + 2].cancelled.size());
 }
 
 /*
- * The same from the side of an online request: a place seemed free, yet its
- * first event does not come. One item of this VM there makes room for it.
+ * The same for an online request: a slot seemed free, but its first event does
+ * not come. One item of this VM there is preempted.
  */
-TEST_F(GatewayFailure, AnOnlineRequestThatFindsNoPlaceCutsAnItem)
+TEST_F(GatewayFailure, AnOnlineRequestThatFindsNoSlotPreemptsAnItem)
 {
-	happens(begin("/once/1"), JJ_BACKEND_DONE);
+	report_event(begin("/once/1"), JJ_BACKEND_DONE);
 	submit("j", 1);
 	tick(50);
-	happens(said.rbegin()->first, JJ_BACKEND_FIRST);
+	report_event(outcomes.rbegin()->first, JJ_BACKEND_FIRST);
 	uint64_t request = begin("/once/1");
 	EXPECT_EQ(1U, server("s1")->batch);
 	tick(99);
@@ -260,15 +272,16 @@
 	tick(1);
 	EXPECT_EQ(0U, server("s1")->batch);
 	EXPECT_EQ(1U, server("s1")->online);
-	EXPECT_EQ(0, said[request].answers);
+	EXPECT_EQ(0, outcomes[request].answers);
 }
 
 /*
- * A whole process ended by itself: a stream and items were silent at one
- * moment, as after a cut. The stream was sent again, which cut the item that
- * was to be looked at next and had no server any more.
+ * Guards against a crash of the gateway's process. After a network cut a stream
+ * and items stalled at the same moment. The stream was sent again, which
+ * preempted the item that the loop was to check next, and which then had no
+ * server.
  */
-TEST_F(GatewayFailure, AStreamThatMovesMayCutAnItemThatIsSilentToo)
+TEST_F(GatewayFailure, AStreamThatMovesMayPreemptAnItemThatStalledToo)
 {
 	uint64_t stream = begin("/again/1");
 
@@ -280,11 +293,14 @@
 	EXPECT_EQ(1U, attempts(begin("/once/1")));
 	tick(1600);
 	EXPECT_EQ(2U, attempts(stream));
-	EXPECT_EQ(0, said[stream].answers);
+	EXPECT_EQ(0, outcomes[stream].answers);
 	EXPECT_EQ(1U, jj_gateway_waiting_items(gateway));
 }
 
-/* All places and queues are full: the caller is told at once, and truly. */
+/*
+ * All slots and queues are full: the caller is refused at once, with the answer
+ * "not run".
+ */
 TEST_F(GatewayFailure, AFullFleetRefusesAtOnce)
 {
 	for (int i = 0; i < 3; i++)
@@ -292,12 +308,12 @@
 	uint64_t request = begin("/once/1");
 
 	expect_end(request, JJ_GIVE_UP_OVERLOADED, JJ_RUN_NOT_RUN);
-	EXPECT_EQ(250, said[request].answer.retry_after_ms);
+	EXPECT_EQ(250, outcomes[request].answer.retry_after_ms);
 	EXPECT_EQ(0U, attempts(request));
 }
 
-/* Refused callers of a burst do not all come back into the same burst. */
-TEST_F(GatewayFailure, RefusedCallersComeBackWhenPlacesAreFree)
+/* The retry delays of a burst of refused callers are spread. */
+TEST_F(GatewayFailure, RefusedCallersRetryWhenSlotsAreFree)
 {
 	std::set<jj_ms_t> times;
 
@@ -305,12 +321,12 @@
 		uint64_t request = begin("/once/1");
 
 		now += 700;
-		happens(request, JJ_BACKEND_DONE);
+		report_event(request, JJ_BACKEND_DONE);
 	}
 	for (int i = 0; i < 3; i++)
 		(void)begin("/once/1");
 	for (int i = 0; i < 20; i++) {
-		jj_ms_t wait = said[begin("/once/1")].answer.retry_after_ms;
+		jj_ms_t wait = outcomes[begin("/once/1")].answer.retry_after_ms;
 
 		EXPECT_LE(690, wait);
 		EXPECT_GE(1400, wait);
@@ -321,7 +337,7 @@
 
 /*
  * One request crashes each server that begins to run it, and its caller sends
- * it again. Others that were there are not blamed for good.
+ * it again. Other requests that ran there are not quarantined.
  */
 TEST_F(GatewayFailure, ARequestThatCrashesServersIsRefused)
 {
@@ -332,12 +348,13 @@
 	for (int i = 0; i < 2; i++) {
 		poison = begin("/once/p", 77);
 		other = begin("/once/o");
-		while (said[other].servers[0] != said[poison].servers[0])
+		while (
+		    outcomes[other].servers[0] != outcomes[poison].servers[0])
 			other = begin("/once/o");
-		happens(other, JJ_BACKEND_FIRST);
-		happens(poison, JJ_BACKEND_BROKEN);
-		happens(other, JJ_BACKEND_BROKEN, 0, true);
-		std::string dead = "servers/" + said[poison].servers[0];
+		report_event(other, JJ_BACKEND_FIRST);
+		report_event(poison, JJ_BACKEND_BROKEN);
+		report_event(other, JJ_BACKEND_BROKEN, 0, true);
+		std::string dead = "servers/" + outcomes[poison].servers[0];
 		see(2, dead.c_str(), "", true);
 		see(2, "servers/s3", "verona ready");
 		now += 1000;
@@ -347,7 +364,9 @@
 	EXPECT_EQ(1U, attempts(begin("/once/o")));
 }
 
-/* A lost answer is no crash: the server lives, nobody is blamed. */
+/*
+ * A lost answer is no crash: the server is up, and no request is quarantined.
+ */
 TEST_F(GatewayFailure, ALostAnswerIsNoCrash)
 {
 	see(2, "servers/s2", "verona ready");
@@ -355,7 +374,7 @@
 		uint64_t request = begin("/once/l", 88);
 
 		ASSERT_EQ(1U, attempts(request)) << i;
-		happens(request, JJ_BACKEND_BROKEN);
+		report_event(request, JJ_BACKEND_BROKEN);
 		now += 4000;
 	}
 }
--- a/tests/core/gateway_vms_test.cc
+++ b/tests/core/gateway_vms_test.cc
@@ -1,6 +1,6 @@
 /**
  * @file gateway_vms_test.cc
- * @brief Entries of VMs at the platform, and what becomes of those gone.
+ * @brief Entries of VMs at the platform, and how those of gone VMs are removed.
  */
 #include "tests/core/gateway_fleet.h"
 
@@ -21,9 +21,11 @@
 	}
 };
 
-/* Guards against entries of VMs that are gone, which no VM ever removes: each
- * list, round of heartbeats and table grows with all replacements ever made. */
-TEST_F(Vms, EntriesOfThoseLongGoneAreRemoved)
+/*
+ * Guards against entries of gone VMs that no VM ever removes: each list,
+ * heartbeat round and table would grow with all replacements ever made.
+ */
+TEST_F(Vms, EntriesOfVmsLongGoneAreRemoved)
 {
 	list_vm("verona-9");
 	list_vm("bolzano-1", "montagna");
@@ -45,8 +47,10 @@
 	    jj_member_find(jj_gateway_member(vms["verona-1"].gateway), &gone));
 }
 
-/* Guards against a VM that nobody finds, as its entry was taken for that of a
- * VM that is gone. */
+/*
+ * Guards against a VM that others can't find, as its entry was removed like
+ * that of a gone VM.
+ */
 TEST_F(Vms, AVmThatMissesItsEntryWritesItAgain)
 {
 	platform.objects.erase("vms/verona-2");
@@ -54,7 +58,10 @@
 	EXPECT_TRUE(platform.has("vms/verona-2"));
 }
 
-/* Guards against the entry of a VM that started again and is not heard yet. */
+/*
+ * Guards against the removal of the entry of a VM that restarted and has not
+ * sent a heartbeat yet.
+ */
 TEST_F(Vms, ANewEntryOfTheSameNameIsNotRemoved)
 {
 	list_vm("verona-9");
--- a/tests/core/gateway_world.h
+++ b/tests/core/gateway_world.h
@@ -1,7 +1,8 @@
 /**
  * @file gateway_world.h
- * @brief What tests of whole gateways share: settings and a plain platform's
- * wire, where a route list is its version and a server "DOMAIN ready".
+ * @brief What tests of whole gateways share: settings, and a simple format of
+ * stored objects, where a route list is its version and a server "DOMAIN
+ * ready".
  */
 #ifndef TESTS_CORE_GATEWAY_WORLD_H
 #define TESTS_CORE_GATEWAY_WORLD_H
@@ -16,11 +17,11 @@
 #include "core/gateway.h"
 }
 
-/** The time of day of these tests; it stands still. */
+/** The time of day of these tests; it does not advance. */
 constexpr int64_t UNIX_MS = 1700000000000;
 
 /**
- * A route of host "h" to the service that read_server() tells of; @p prefix is
+ * A route of host "h" to the service that read_server() returns; @p prefix is
  * not copied.
  */
 inline jj_route_t
@@ -42,7 +43,7 @@
 	return route;
 }
 
-/** Routes by the version that stands in the object. */
+/** Returns the test's routes with the version that is in the object. */
 inline bool
 read_routes(void *ctx, const jj_bytes_t *object, jj_routes_t *routes, char *why,
     size_t why_size)
@@ -62,8 +63,8 @@
 }
 
 /**
- * "DOMAIN ready" or "DOMAIN draining", then its start in s from now on,
- * "places=N" or "service=NAME".
+ * Reads "DOMAIN ready" or "DOMAIN draining", then optionally its start in s
+ * from now, "places=N" or "service=NAME".
  */
 inline bool
 read_server(void *, const char *id, const jj_bytes_t *object,
@@ -74,7 +75,7 @@
 	size_t start = text.find_last_of(' ');
 
 	if (text.find(' ') == std::string::npos) {
-		snprintf(why, why_size, "no words");
+		snprintf(why, why_size, "no state after the domain");
 		return false;
 	}
 	if (start != text.find(' ') && text.find('=') == std::string::npos)
--- a/tests/core/member_test.cc
+++ b/tests/core/member_test.cc
@@ -1,6 +1,6 @@
 /**
  * @file member_test.cc
- * @brief Who is alive: heartbeats, probes, restarts, pauses, speakers.
+ * @brief Which VMs are live: heartbeats, probes, restarts, pauses, speakers.
  */
 #include <deque>
 #include <map>
@@ -24,7 +24,7 @@
 	return result;
 }
 
-/** VMs in virtual time; links can be cut, and hold back what is sent. */
+/** VMs in virtual time; links can be cut, delayed and held back. */
 class Net
 {
       public:
@@ -70,7 +70,7 @@
 
 		for (; now < end; now += 100) {
 			for (auto &vm : vms)
-				if (frozen.count(vm.first) == 0)
+				if (paused.count(vm.first) == 0)
 					tick(vm.first);
 			deliver();
 		}
@@ -112,20 +112,20 @@
 		for (int round = 0; round < 4; round++)
 			for (auto &link : links)
 				if (held.count(link.first.first) == 0 &&
-				    frozen.count(link.first.second) == 0)
-					drain_due(link.first);
+				    paused.count(link.first.second) == 0)
+					deliver_due(link.first);
 	}
-	/** Messages take longer and longer: 300 ms more each second. */
+	/** Increases the delay of messages by 300 ms each second. */
 	void
-	slow_down(jj_ms_t to_ms)
+	increase_delay(jj_ms_t to_ms)
 	{
 		for (; delay_ms < to_ms; delay_ms += 300)
 			run(1000);
 		delay_ms = to_ms;
 	}
-	/** Only what was under way for long enough; the rest stays. */
+	/** Delivers the messages whose delay is over. */
 	void
-	drain_due(const std::pair<std::string, std::string> &link)
+	deliver_due(const std::pair<std::string, std::string> &link)
 	{
 		std::deque<jj_message_t> &messages = links[link];
 		std::deque<jj_ms_t> &times = due[link];
@@ -166,15 +166,17 @@
 	}
 
 	jj_ms_t now = 10000;
-	jj_ms_t delay_ms = 0; /* one way, of what is sent from now on */
+	jj_ms_t delay_ms = 0; /* one way, of messages sent from now on */
 	std::map<std::pair<std::string, std::string>, std::deque<jj_ms_t>> due;
 	std::map<std::string, jj_member_t *> vms;
 	std::map<std::string, std::string> domains;
 	std::map<std::pair<std::string, std::string>, std::deque<jj_message_t>>
 	    links;
-	std::map<std::string, bool> frozen; /* neither ticks nor receives */
-	std::map<std::string, bool> held; /* its messages are held back */
-	std::map<std::string, bool> lost; /* its messages are lost */
+	/* paused VMs neither tick nor receive */
+	std::map<std::string, bool> paused;
+	/* senders whose messages are held back */
+	std::map<std::string, bool> held;
+	std::map<std::string, bool> lost; /* senders whose messages are lost */
 	std::map<std::string, int> sent;
 };
 
@@ -191,7 +193,7 @@
 	return result;
 }
 
-TEST(Member, FindsItsDomainAndForgetsTheSilent)
+TEST(Member, FindsItsDomainAndForgetsUnreachableVms)
 {
 	Net net;
 	jj_member_info_t infos[8];
@@ -204,7 +206,7 @@
 	ASSERT_EQ(jj_member_list(net.vms["a2"], &domain, infos, 8), 3u);
 	EXPECT_STREQ(infos[0].name.text, "a1");
 	EXPECT_STREQ(infos[1].name.text, "a2");
-	net.frozen["a1"] = true;
+	net.paused["a1"] = true;
 	net.run(1500);
 	EXPECT_TRUE(net.live("a2", "a1"));
 	net.run(3000);
@@ -214,9 +216,11 @@
 	EXPECT_EQ(net.info("a2", "a1"), nullptr);
 }
 
-/* Guards against a VM that nobody hears, as entries of VMs that are gone fill
- * the table: two days of 330 VMs of which 270 are replaced a day. */
-TEST(Member, HearsANewVmWhateverIsListed)
+/*
+ * Guards against a new VM whose heartbeats are dropped, as entries of gone VMs
+ * fill the table: two days of 330 VMs of which 270 are replaced a day.
+ */
+TEST(Member, AcceptsANewVmWhateverIsListed)
 {
 	Net net;
 	jj_name_t domain = name("sala-a");
@@ -233,10 +237,13 @@
 	EXPECT_EQ(330U + 2 * 270 + 1, jj_member_count(net.vms["a1"]));
 }
 
-/* A VM dies; its neighbour was cut off from it for a while. When the link
- * comes back ZeroMQ delivers all heartbeats the dead VM had queued, with
- * rising sequences. Taken for life, work would go to the dead VM. */
-TEST(Member, QueuedHeartbeatsOfTheDeadDoNotReviveIt)
+/*
+ * Guards against work for a failed VM. A VM fails while its neighbour is cut
+ * off from it. When the link is back ZeroMQ delivers all heartbeats that the
+ * failed VM had queued, with rising sequences; they must not make it live
+ * again.
+ */
+TEST(Member, QueuedHeartbeatsOfAFailedVmDoNotReviveIt)
 {
 	Net net;
 
@@ -246,7 +253,7 @@
 	net.held["a1"] = true;
 	net.run(20000);
 	EXPECT_FALSE(net.live("a2", "a1"));
-	net.frozen["a1"] = true; /* dead from here on */
+	net.paused["a1"] = true; /* failed from here on */
 	net.run(5000);
 	ASSERT_GT((net.links[{"a1", "a2"}].size()), 20u);
 	net.held.clear();
@@ -256,13 +263,16 @@
 	}
 }
 
-/* Two VMs of a loaded machine: each heartbeat comes, each 500 ms, but takes a
- * little longer, so that there and back is over suspect_ms. None was a sign
- * of life any more, and both called each other silent while they answered
- * their callers (in 20 of 32 silences at a suspect_ms of 600 heartbeats had come
- * in that time whose acknowledgements were 605 to 2,116 ms old). The bound is on silence: here it is never longer than a
- * heartbeat and what the delay has grown by. */
-TEST(Member, HeartbeatsThatAreLongUnderWayAreNoSilence)
+/*
+ * Guards against live VMs that suspect each other. On a loaded machine each
+ * heartbeat arrives, one every 500 ms, but so late that the round trip exceeds
+ * suspect_ms. None counted as a sign of life, and both VMs suspected each other
+ * while they answered their callers (in 20 of 32 suspicions at a suspect_ms of
+ * 600, heartbeats had arrived in that time whose acknowledgements were 605 to
+ * 2,116 ms old). What counts is the time without a heartbeat: here it is never
+ * longer than a heartbeat interval and the growth of the delay.
+ */
+TEST(Member, HeartbeatsLongInTransitAreNoFailure)
 {
 	for (jj_ms_t delay_ms : {900, 1100, 1300, 1800, 2400}) {
 		SCOPED_TRACE(delay_ms);
@@ -271,7 +281,7 @@
 		net.start("a1", "sala-a", 1);
 		net.start("a2", "sala-a", 2);
 		net.run(1500);
-		net.slow_down(delay_ms);
+		net.increase_delay(delay_ms);
 		for (int i = 0; i < 300; i++) {
 			net.run(100);
 			ASSERT_TRUE(net.live("a2", "a1")) << i;
@@ -280,9 +290,11 @@
 	}
 }
 
-/* The same link, and one of the two dies. What it had sent comes in for as
- * long as it was under way, and must not count for longer. */
-TEST(Member, TheDeadBehindASlowLinkFallSilent)
+/*
+ * The same link, and one of the two VMs fails. Its messages arrive for as long
+ * as they are in transit, and must not count for longer.
+ */
+TEST(Member, AFailedVmBehindASlowLinkBecomesUnreachable)
 {
 	for (jj_ms_t delay_ms : {0, 900, 1300, 2400}) {
 		SCOPED_TRACE(delay_ms);
@@ -291,10 +303,10 @@
 		net.start("a1", "sala-a", 1);
 		net.start("a2", "sala-a", 2);
 		net.run(1500);
-		net.slow_down(delay_ms);
+		net.increase_delay(delay_ms);
 		net.run(10000);
 		ASSERT_TRUE(net.live("a2", "a1"));
-		net.frozen["a1"] = true;
+		net.paused["a1"] = true;
 		net.run(delay_ms + 2000 + 500);
 		EXPECT_FALSE(net.live("a2", "a1"));
 		net.run(20000);
@@ -302,10 +314,12 @@
 	}
 }
 
-/* A cut in one direction: a1 hears a2, but nothing of a1 comes through. Each
- * must call the other silent, or a1 goes on to give a2 work that never
- * arrives: at once where nothing comes, and within suspect_ms more where
- * heartbeats come that acknowledge nothing new. */
+/*
+ * A cut in one direction: a1 receives from a2, but nothing of a1 arrives. Each
+ * must suspect the other, or a1 would still give a2 work that never arrives:
+ * the side that receives nothing at once, the other within suspect_ms more, as
+ * the heartbeats that it receives acknowledge nothing new.
+ */
 TEST(Member, ACutInOneDirectionIsSeenAtBothEnds)
 {
 	Net net;
@@ -324,10 +338,13 @@
 	}
 }
 
-/* Two VMs start on a loaded machine: a probe and its echo take 0.8 s. Each
- * heartbeat without an acknowledgement was answered by a probe with a new
- * nonce, the echo of the one before counted no more, and the two did not
- * meet for as long as the load lasted. */
+/*
+ * Guards against VMs that never find each other. Two VMs start on a loaded
+ * machine: a probe and its echo take 0.8 s. Each heartbeat without an
+ * acknowledgement was answered by a probe with a new nonce, the echo of the
+ * probe before no longer counted, and the two were not live to each other for
+ * as long as the load lasted.
+ */
 TEST(Member, AnEchoMayComeAfterTheNextProbe)
 {
 	for (jj_ms_t delay_ms : {300, 400, 600, 900}) {
@@ -343,7 +360,7 @@
 	}
 }
 
-TEST(Member, ComesBackAfterACut)
+TEST(Member, RejoinsAfterACut)
 {
 	Net net;
 
@@ -359,13 +376,15 @@
 	EXPECT_TRUE(net.live("a1", "a2"));
 }
 
-/* A VM is replaced by one with the same name and address and no memory. Late
- * messages of the old process arrive: they must not count for the new one,
- * and a process that is gone cannot take its place again. */
+/*
+ * A VM is replaced by one with the same name and address and no state. Late
+ * messages of the old process must not count for the new one, and the old
+ * process cannot take its place again.
+ */
 TEST(Member, LateMessagesOfAReplacedProcessAreDropped)
 {
 	const struct {
-		const char *story;
+		const char *label;
 		jj_message_kind_t kind;
 		jj_incarnation_t incarnation;
 		uint64_t sequence;
@@ -395,29 +414,31 @@
 		    message("a1", row.kind, row.incarnation, row.sequence);
 
 		late.body.heartbeat.domain = name("sala-a");
-		EXPECT_EQ(net.accept("a2", late), row.accepted) << row.story;
+		EXPECT_EQ(net.accept("a2", late), row.accepted) << row.label;
 		EXPECT_EQ(net.info("a2", "a1")->incarnation, 11u);
 	}
 	net.run(1000);
 	EXPECT_EQ(net.info("a2", "a1")->incarnation, 11u);
 }
 
-/* A VM is frozen for a minute. When it wakes it has heard nobody; taking all
- * others for dead it would take over their work. It finds the pause out, and
- * the others get their time to be heard. */
-TEST(Member, AFrozenVmThatWakesDoesNotTakeTheOthersForDead)
+/*
+ * A VM is paused for a minute. When it resumes it has received nothing; if it
+ * took all others as failed it would take over their work. It detects the
+ * pause, and the others get time to send a sign of life.
+ */
+TEST(Member, AVmThatResumesDoesNotTakeTheOthersAsFailed)
 {
 	Net net;
 
 	for (const char *vm : {"a1", "a2", "a3"})
 		net.start(vm, "sala-a", 100 + vm[1]);
 	net.run(1500);
-	net.frozen["a2"] = true;
+	net.paused["a2"] = true;
 	net.run(60000);
-	net.frozen.clear();
+	net.paused.clear();
 	EXPECT_TRUE(jj_member_was_paused(net.vms["a2"], net.now, 1000));
 	net.tick("a2");
-	EXPECT_TRUE(net.live("a2", "a1")) << "before it has heard anybody";
+	EXPECT_TRUE(net.live("a2", "a1")) << "before it has received anything";
 	for (int i = 0; i < 30; i++) {
 		net.run(100);
 		EXPECT_TRUE(net.live("a2", "a1")) << i;
@@ -461,15 +482,15 @@
 	EXPECT_TRUE(net.live("b1", "a1"));
 	net.sent.clear();
 	net.run(10000);
-	/* 20 rounds: two VMs of its own domain and one other domain. */
+	/* 20 rounds: two VMs of its own domain and one of another domain. */
 	EXPECT_LE(net.sent["a1"], 20 * 3 + 2);
 	EXPECT_LE(net.sent["a2"], 20 * 2 + 2);
 	EXPECT_FALSE(net.live("a2", "b1"));
-	net.frozen["b1"] = true;
+	net.paused["b1"] = true;
 	net.run(12000);
 	EXPECT_TRUE(net.live("a1", "b2"));
 	EXPECT_TRUE(net.live("b2", "a1"));
-	net.frozen.clear();
+	net.paused.clear();
 	net.run(6000);
 	EXPECT_TRUE(net.live("a1", "b1"));
 }
--- a/tests/core/route_test.cc
+++ b/tests/core/route_test.cc
@@ -1,6 +1,6 @@
 /**
  * @file route_test.cc
- * @brief Hosts and paths find their route; weights share it out.
+ * @brief How hosts and paths match routes, and how weights share requests.
  */
 #include <random>
 #include <string>
@@ -80,7 +80,9 @@
 	MatchCase{"NoHost", "c.example", "/", nullptr}),
     [](const auto &info) { return std::string(info.param.name); });
 
-/** The first of the longest prefixes, found by looking at all routes. */
+/**
+ * The first of the longest matching prefixes, found by a scan of all routes.
+ */
 const jj_route_t *
 match_by_scan(
     const jj_routes_t &routes, const char *host, const std::string &path)
@@ -100,7 +102,7 @@
 	return best;
 }
 
-/* Guards against an index that finds other routes than a look at all does. */
+/* Guards against an index that finds other routes than a scan does. */
 TEST(Route, IndexAgreesWithAScan)
 {
 	const char *const hosts[] = {"h", "H", "h.x", "h.x:80", "", "\xc3\x89"};
