--- a/src/core/gateway_lend.c
+++ b/src/core/gateway_borrow.c
@@ -1,5 +1,5 @@
 /**
- * @file gateway_lend.c
+ * @file gateway_borrow.c
  * @brief Platform calls of jobs that are made through another VM ("borrowed"
  * calls).
  *
--- a/src/core/gateway_deaths.c
+++ b/src/core/gateway_crashes.c
@@ -1,5 +1,5 @@
 /**
- * @file gateway_deaths.c
+ * @file gateway_crashes.c
  * @brief Servers that crashed while they ran requests, and servers that accept
  * no connections.
  */
--- a/src/core/gateway_line.c
+++ b/src/core/gateway_queue.c
@@ -1,5 +1,5 @@
 /**
- * @file gateway_line.c
+ * @file gateway_queue.c
  * @brief Which requests are served first when there are more than free slots.
  *
  * Requests that can still be in time have priority over those that can't. A new
--- a/src/core/gateway_news.c
+++ b/src/core/gateway_updates.c
@@ -1,5 +1,5 @@
 /**
- * @file gateway_news.c
+ * @file gateway_updates.c
  * @brief Messages between VMs: loads, crash reports, ended jobs.
  */
 #include <stdio.h>
--- a/tests/core/gateway_lend_test.cc
+++ b/tests/core/gateway_borrow_test.cc
@@ -1,5 +1,5 @@
 /**
- * @file gateway_lend_test.cc
+ * @file gateway_borrow_test.cc
  * @brief VMs that can't reach the platform, or a server, while others can.
  */
 #include "tests/core/gateway_fleet.h"
--- a/tests/core/gateway_fixture.h
+++ b/tests/core/gateway_fixture.h
@@ -13,7 +13,7 @@
 
 #include <gtest/gtest.h>
 
-#include "tests/core/gateway_world.h"
+#include "tests/core/gateway_helpers.h"
 
 /** What the gateway did with a request. */
 struct RequestOutcome {
--- a/tests/core/gateway_fleet.h
+++ b/tests/core/gateway_fleet.h
@@ -15,7 +15,7 @@
 
 #include <gtest/gtest.h>
 
-#include "tests/core/gateway_world.h"
+#include "tests/core/gateway_helpers.h"
 
 constexpr jj_ms_t FLEET_STEP_MS = 5;
 
--- a/tests/core/gateway_world.h
+++ b/tests/core/gateway_helpers.h
@@ -1,5 +1,5 @@
 /**
- * @file gateway_world.h
+ * @file gateway_helpers.h
  * @brief What tests of whole gateways share: settings, and a simple format of
  * stored objects, where a route list is its version and a server "DOMAIN
  * ready".
--- a/tests/core/gateway_line_test.cc
+++ b/tests/core/gateway_queue_test.cc
@@ -1,5 +1,5 @@
 /**
- * @file gateway_line_test.cc
+ * @file gateway_queue_test.cc
  * @brief Which requests wait and which are refused when both slots of the only
  * server are taken.
  */
