--- a/src/core/inline.c
+++ b/src/core/inline.c
@@ -1,6 +1,6 @@
 /**
  * @file inline.c
- * @brief Batch jobs that come whole: the parts put together.
+ * @brief Batch jobs submitted whole in one request: entry points and ticks.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -20,7 +20,7 @@
 	jobs->port = *port;
 	TAILQ_INIT(&jobs->runs);
 	TAILQ_INIT(&jobs->ops);
-	TAILQ_INIT(&jobs->heard);
+	TAILQ_INIT(&jobs->peer_states);
 	jj_inline_end_call(&jobs->check);
 	jj_inline_init_open(jobs);
 	return jobs;
@@ -39,7 +39,7 @@
 	while ((op = TAILQ_FIRST(&jobs->ops)) != NULL)
 		jj_inline_free_op(jobs, op);
 	jj_inline_clear_open(jobs);
-	jj_inline_clear_heard(jobs);
+	jj_inline_clear_peer_states(jobs);
 	free(jobs);
 }
 
@@ -51,7 +51,7 @@
 	TAILQ_FOREACH(op, &jobs->ops, link)
 	{
 		if (op->operation == operation)
-			op->forgotten = true;
+			op->abandoned = true;
 	}
 }
 
@@ -78,8 +78,8 @@
 
 	jobs->now_ms = now;
 	if (jj_mirror_take_result(&jobs->mirror, result, now)) {
-		jobs->next_look_ms = now;
-		jj_inline_look_at_open(jobs, now, out);
+		jobs->next_scan_ms = now;
+		jj_inline_scan_open(jobs, now, out);
 		return;
 	}
 	if (jj_inline_take_check(jobs, result, now, out) ||
@@ -104,7 +104,7 @@
 	jj_mirror_set_active(&jobs->mirror, true, now);
 	jj_inline_step_check(jobs, now, out);
 	jj_mirror_tick(&jobs->mirror, now, out);
-	jj_inline_look_at_open(jobs, now, out);
+	jj_inline_scan_open(jobs, now, out);
 	step_runs(jobs, now, out);
 	step_ops(jobs, now, out);
 	jj_inline_step_watchdog(jobs, now, out);
@@ -149,7 +149,7 @@
 		if (run->state != JJ_RUN_CLOSED)
 			return false;
 	}
-	/* A takeover under way makes a job this VM's. */
+	/* A pending takeover may make this VM the owner of a job. */
 	TAILQ_FOREACH(entry, &jobs->open, link)
 	{
 		if (entry->token != 0)
@@ -189,8 +189,8 @@
 
 	for (run = TAILQ_FIRST(&jobs->runs); run != NULL; run = next) {
 		next = TAILQ_NEXT(run, link);
-		if (jobs->leaving && !run->leaves)
-			jj_inline_leave_run(jobs, run, now);
+		if (jobs->leaving && !run->handing_over)
+			jj_inline_hand_over_run(jobs, run, now);
 		jj_inline_step_run(jobs, run, now, out);
 	}
 }
--- a/src/core/inline_calls.c
+++ b/src/core/inline_calls.c
@@ -1,6 +1,6 @@
 /**
  * @file inline_calls.c
- * @brief Platform calls of inline jobs: repeated, backed off, read in parts.
+ * @brief Platform calls of inline jobs: retries, backoff, reads in parts.
  */
 #include <stdio.h>
 #include <string.h>
@@ -17,7 +17,7 @@
 }
 
 void
-jj_inline_want_call(jj_inline_call_t *call, jj_ms_t now)
+jj_inline_schedule_call(jj_inline_call_t *call, jj_ms_t now)
 {
 	call->token = 0;
 	call->failures = 0;
@@ -71,7 +71,7 @@
 		    JJ_INLINE_PARTS, load->id, load->next_part);
 }
 
-jj_inline_loaded_t
+jj_inline_load_result_t
 jj_inline_take_load(jj_inline_t *jobs, jj_inline_load_t *load,
     const jj_platform_result_t *result, jj_ms_t now)
 {
@@ -84,7 +84,7 @@
 		return JJ_LOAD_MORE;
 	}
 	if (load->parts == 0) {
-		load->parts = jj_inline_decode_cut(&result->value);
+		load->parts = jj_inline_decode_split(&result->value);
 		if (load->parts == 0) {
 			jj_inline_end_call(&load->call);
 			load->text = jj_bytes_copy(
@@ -98,7 +98,7 @@
 		jj_inline_end_call(&load->call);
 		return JJ_LOAD_DONE;
 	}
-	jj_inline_want_call(&load->call, now);
+	jj_inline_schedule_call(&load->call, now);
 	return JJ_LOAD_MORE;
 }
 
@@ -112,7 +112,7 @@
 }
 
 bool
-jj_inline_surely_failed(jj_platform_outcome_t outcome)
+jj_inline_had_no_effect(jj_platform_outcome_t outcome)
 {
 	return outcome == JJ_PLATFORM_DOWN || outcome == JJ_PLATFORM_LIMITED;
 }
--- a/src/core/inline_heard.c
+++ b/src/core/inline_heard.c
@@ -1,24 +1,24 @@
 /**
  * @file inline_heard.c
- * @brief What VMs tell each other of the jobs that they run.
+ * @brief Reports of other VMs about the jobs that they run.
  *
- * A VM that runs jobs says a few times a second how much of each is shown and
- * what still waits. Readers at other VMs need no call to the platform while
- * there is nothing new, and a submission is weighed against what really
- * waits, not against all that was taken.
+ * A VM that runs jobs reports a few times a second how many results of each are
+ * published and how many tokens still wait. So readers at other VMs need no
+ * platform call while nothing is new, and the token limit of a submission
+ * counts what still waits, not all that was accepted.
  */
 #include <stdlib.h>
 #include <string.h>
 
 #include "core/inline_state.h"
 
-/** What was heard is forgotten after so many times its freshness. */
-#define KEEP_TIMES 4
+/** Reports are dropped after state_fresh_ms times this. */
+#define KEEP_FACTOR 4
 
-static jj_heard_state_t *find(const jj_inline_t *, uint64_t);
-static void
-take(jj_inline_t *, const jj_name_t *, const jj_job_standing_t *, jj_ms_t);
-static void forget_old(jj_inline_t *, jj_ms_t);
+static jj_peer_state_t *find(const jj_inline_t *, uint64_t);
+static void store_state(
+    jj_inline_t *, const jj_name_t *, const jj_job_standing_t *, jj_ms_t);
+static void drop_old(jj_inline_t *, jj_ms_t);
 
 uint64_t
 jj_inline_hash(const char *text)
@@ -28,18 +28,18 @@
 
 uint32_t
 jj_inline_list_states(
-    const jj_inline_t *jobs, jj_job_standing_t *states, uint32_t most)
+    const jj_inline_t *jobs, jj_job_standing_t *states, uint32_t max_count)
 {
 	const jj_inline_run_t *run;
 	uint32_t count = 0;
 
 	TAILQ_FOREACH(run, &jobs->runs, link)
 	{
-		if (!jj_inline_can_speak(jobs, run) ||
+		if (!jj_inline_is_current(jobs, run) ||
 		    (run->state != JJ_RUN_RUNNING &&
 			run->state != JJ_RUN_CLOSING))
 			continue;
-		if (count >= most) {
+		if (count >= max_count) {
 			count++;
 			continue;
 		}
@@ -47,7 +47,7 @@
 		states[count].route = jj_inline_hash(run->route.text);
 		states[count].tokens = jj_inline_run_tokens(run);
 		states[count].total = run->segment.total;
-		states[count].shown = run->shown;
+		states[count].shown = run->published;
 		count++;
 	}
 	return count;
@@ -63,8 +63,8 @@
 	uint32_t i;
 
 	for (i = 0; i < count; i++)
-		take(jobs, vm, &states[i], written);
-	forget_old(jobs, now);
+		store_state(jobs, vm, &states[i], written);
+	drop_old(jobs, now);
 	for (op = TAILQ_FIRST(&jobs->ops); op != NULL; op = next) {
 		next = TAILQ_NEXT(op, link);
 		if (op->kind == JJ_OP_READ)
@@ -72,96 +72,99 @@
 	}
 }
 
-const jj_heard_state_t *
-jj_inline_find_heard(const jj_inline_t *jobs, const char *id, jj_ms_t now)
+const jj_peer_state_t *
+jj_inline_find_peer_state(const jj_inline_t *jobs, const char *id, jj_ms_t now)
 {
-	const jj_heard_state_t *heard = find(jobs, jj_inline_hash(id));
+	const jj_peer_state_t *peer_state = find(jobs, jj_inline_hash(id));
 
-	if (heard == NULL ||
-	    now - heard->heard_ms > jobs->settings.state_fresh_ms)
+	if (peer_state == NULL ||
+	    now - peer_state->reported_at_ms > jobs->settings.state_fresh_ms)
 		return NULL;
-	return heard;
+	return peer_state;
 }
 
 uint64_t
-jj_inline_heard_tokens(
+jj_inline_peer_tokens(
     const jj_inline_t *jobs, const jj_name_t *route, jj_ms_t now)
 {
 	uint64_t hash = jj_inline_hash(route->text);
-	const jj_heard_state_t *heard;
+	const jj_peer_state_t *peer_state;
 	uint64_t tokens = 0;
 
-	TAILQ_FOREACH(heard, &jobs->heard, link)
+	TAILQ_FOREACH(peer_state, &jobs->peer_states, link)
 	{
-		if (heard->state.route == hash &&
-		    now - heard->heard_ms <= jobs->settings.state_fresh_ms)
-			tokens += heard->state.tokens;
+		if (peer_state->state.route == hash &&
+		    now - peer_state->reported_at_ms <=
+			jobs->settings.state_fresh_ms)
+			tokens += peer_state->state.tokens;
 	}
 	return tokens;
 }
 
 void
-jj_inline_clear_heard(jj_inline_t *jobs)
+jj_inline_clear_peer_states(jj_inline_t *jobs)
 {
-	jj_heard_state_t *heard;
+	jj_peer_state_t *peer_state;
 
-	while ((heard = TAILQ_FIRST(&jobs->heard)) != NULL) {
-		TAILQ_REMOVE(&jobs->heard, heard, link);
-		free(heard);
+	while ((peer_state = TAILQ_FIRST(&jobs->peer_states)) != NULL) {
+		TAILQ_REMOVE(&jobs->peer_states, peer_state, link);
+		free(peer_state);
 	}
 }
 
-static jj_heard_state_t *
+static jj_peer_state_t *
 find(const jj_inline_t *jobs, uint64_t job)
 {
-	jj_heard_state_t *heard;
+	jj_peer_state_t *peer_state;
 
-	TAILQ_FOREACH(heard, &jobs->heard, link)
+	TAILQ_FOREACH(peer_state, &jobs->peer_states, link)
 	{
-		if (heard->state.job == job)
-			return heard;
+		if (peer_state->state.job == job)
+			return peer_state;
 	}
 	return NULL;
 }
 
 /**
- * Guards against a VM that has lost its job and does not know it yet: it
- * still says how much was shown when it lost it. The greater word counts, as
- * what is shown only grows.
+ * A VM that has lost its job and does not know it yet still reports the number
+ * of results published when it lost it. The larger number counts, as published
+ * results only grow.
  */
 static void
-take(jj_inline_t *jobs, const jj_name_t *vm, const jj_job_standing_t *state,
-    jj_ms_t written)
+store_state(jj_inline_t *jobs, const jj_name_t *vm,
+    const jj_job_standing_t *state, jj_ms_t written)
 {
-	jj_heard_state_t *heard = find(jobs, state->job);
-	uint32_t shown = 0;
+	jj_peer_state_t *peer_state = find(jobs, state->job);
+	uint32_t published = 0;
 
-	if (heard == NULL) {
-		heard = jj_alloc(sizeof(*heard));
-		TAILQ_INSERT_TAIL(&jobs->heard, heard, link);
+	if (peer_state == NULL) {
+		peer_state = jj_alloc(sizeof(*peer_state));
+		TAILQ_INSERT_TAIL(&jobs->peer_states, peer_state, link);
 	}
-	shown = heard->state.shown;
-	heard->state = *state;
-	if (shown > state->shown)
-		heard->state.shown = shown;
-	if (heard->heard_ms == 0 || written > heard->heard_ms) {
-		heard->heard_ms = written;
-		heard->vm = *vm;
+	published = peer_state->state.shown;
+	peer_state->state = *state;
+	if (published > state->shown)
+		peer_state->state.shown = published;
+	if (peer_state->reported_at_ms == 0 ||
+	    written > peer_state->reported_at_ms) {
+		peer_state->reported_at_ms = written;
+		peer_state->vm = *vm;
 	}
 }
 
 static void
-forget_old(jj_inline_t *jobs, jj_ms_t now)
+drop_old(jj_inline_t *jobs, jj_ms_t now)
 {
-	jj_heard_state_t *heard;
-	jj_heard_state_t *next;
-
-	for (heard = TAILQ_FIRST(&jobs->heard); heard != NULL; heard = next) {
-		next = TAILQ_NEXT(heard, link);
-		if (now - heard->heard_ms <=
-		    KEEP_TIMES * jobs->settings.state_fresh_ms)
+	jj_peer_state_t *peer_state;
+	jj_peer_state_t *next;
+
+	for (peer_state = TAILQ_FIRST(&jobs->peer_states); peer_state != NULL;
+	     peer_state = next) {
+		next = TAILQ_NEXT(peer_state, link);
+		if (now - peer_state->reported_at_ms <=
+		    KEEP_FACTOR * jobs->settings.state_fresh_ms)
 			continue;
-		TAILQ_REMOVE(&jobs->heard, heard, link);
-		free(heard);
+		TAILQ_REMOVE(&jobs->peer_states, peer_state, link);
+		free(peer_state);
 	}
 }
--- a/src/core/inline_job.c
+++ b/src/core/inline_job.c
@@ -1,6 +1,6 @@
 /**
  * @file inline_job.c
- * @brief A batch job that comes whole in one request, and its results.
+ * @brief A batch job submitted whole in one request, and its results.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -12,12 +12,12 @@
 #include "core/inline_job.h"
 #include "core/json_text.h"
 
-/** Bytes of a stored result besides its id and text. */
-#define RESULT_FRAME 40
-/** Bytes of an escaped control character ("\\u0001") beyond its own. */
-#define ESCAPED_MORE 5
+/** Bytes of a stored result in addition to its id and text. */
+#define RESULT_OVERHEAD 40
+/** Additional bytes of an escaped control character ("\\u0001"). */
+#define ESCAPE_EXTRA 5
 
-static void keep_header(jj_inline_item_t *, char *);
+static void append_header(jj_inline_item_t *, char *);
 static void clear_item(jj_inline_item_t *);
 static json_t *encode_item(const jj_inline_item_t *);
 static bool decode_item(jj_inline_item_t *, const json_t *);
@@ -53,11 +53,11 @@
 jj_inline_item_add_header(
     jj_inline_item_t *item, const char *name, const char *value)
 {
-	size_t room = strlen(name) + strlen(value) + 3;
-	char *line = jj_alloc(room);
+	size_t line_size = strlen(name) + strlen(value) + 3;
+	char *line = jj_alloc(line_size);
 
-	(void)snprintf(line, room, "%s: %s", name, value);
-	keep_header(item, line);
+	(void)snprintf(line, line_size, "%s: %s", name, value);
+	append_header(item, line);
 }
 
 const jj_inline_item_t *
@@ -135,7 +135,7 @@
 
 	if (size > JJ_INLINE_PART_BYTES)
 		size = JJ_INLINE_PART_BYTES;
-	/* Base64: a cut may fall within a character of several bytes. */
+	/* Base64, as the split may fall within a multi-byte character. */
 	encoded = g_base64_encode((const guchar *)text->data + at, size);
 	object = json_pack("{s:s}", "text", encoded);
 	g_free(encoded);
@@ -143,19 +143,21 @@
 }
 
 jj_bytes_t
-jj_inline_encode_cut(uint32_t parts)
+jj_inline_encode_split(uint32_t parts)
 {
 	return jj_json_take_bytes(
 	    json_pack("{s:I}", "parts", (json_int_t)parts));
 }
 
 uint32_t
-jj_inline_decode_cut(const jj_bytes_t *object)
+jj_inline_decode_split(const jj_bytes_t *object)
 {
 	json_t *root;
 	json_int_t parts;
 
-	/* The object of a cut job is tiny; a whole job is not read twice. */
+	/*
+	 * The object of a split job is tiny; avoids parsing a whole job twice.
+	 */
 	if (object->size > 64)
 		return 0;
 	root = json_loadb(object->data, object->size, 0, NULL);
@@ -272,7 +274,7 @@
 size_t
 jj_inline_result_size(const char *id, const jj_bytes_t *text)
 {
-	size_t size = RESULT_FRAME + strlen(id) + text->size;
+	size_t size = RESULT_OVERHEAD + strlen(id) + text->size;
 	size_t i;
 
 	for (i = 0; i < text->size; i++) {
@@ -281,14 +283,14 @@
 		if (byte == '"' || byte == '\\' || byte == '\n')
 			size++;
 		else if (byte < ' ')
-			size += ESCAPED_MORE;
+			size += ESCAPE_EXTRA;
 	}
 	return size;
 }
 
-/** Takes the line over. */
+/** Takes ownership of @p line. */
 static void
-keep_header(jj_inline_item_t *item, char *line)
+append_header(jj_inline_item_t *item, char *line)
 {
 	item->headers = jj_realloc(
 	    item->headers, (item->header_count + 1) * sizeof(*item->headers));
@@ -348,7 +350,7 @@
 
 		if (text == NULL)
 			return false;
-		keep_header(item, text);
+		append_header(item, text);
 	}
 	if (item->id == NULL || item->path == NULL || body == NULL)
 		return false;
--- a/src/core/inline_job.h
+++ b/src/core/inline_job.h
@@ -1,46 +1,50 @@
 /**
  * @file inline_job.h
- * @brief A batch job that comes whole in one request, and its results.
+ * @brief A batch job submitted whole in one request, and its results.
  *
- * A job is at most a few hundred items, so it is stored as one object that is
- * created once and never changed; a larger one is cut into parts that are
- * created before it. Results stand in segments: a list that only grows, each
- * step by a conditional update, so that a position that was shown once never
- * changes, whoever writes.
+ * A job has at most a few hundred items, so it is stored as one object that is
+ * created once and never changed; a larger one is split into parts that are
+ * created before it. Results are stored in segments that form an append-only
+ * list. Each append is a conditional update, so that a published position never
+ * changes, whichever VM writes.
  */
 #ifndef JJ_CORE_INLINE_JOB_H
 #define JJ_CORE_INLINE_JOB_H
 
 #include "core/types.h"
 
-/** Longest id of a job, bytes. */
+/** Longest job id, bytes. */
 #define JJ_INLINE_ID_MAX 127
-/** Most items of a job. */
+/** Maximum number of items of a job. */
 #define JJ_INLINE_ITEMS_MAX 1000
 /**
- * Most bytes of a job's text in one object. The text of a part is quoted once
- * more, and bodies in base64 need none, so 1 MB is far off.
+ * Maximum bytes of a job's text in one object. A part's text is base64, which
+ * needs no escapes when quoted in JSON, so the part stays far below the 1 MB
+ * limit.
  */
 #define JJ_INLINE_PART_BYTES 640000
-/** A segment that has this many bytes of results is sealed. */
+/** A segment with this many bytes of results is sealed. */
 #define JJ_INLINE_SEGMENT_BYTES 600000
-/** No result is added that makes a segment larger: 1 MiB is an object. */
-#define JJ_INLINE_SEGMENT_MOST 1000000
+/**
+ * No result is added that makes a segment larger; the platform's limit of an
+ * object is 1 MiB.
+ */
+#define JJ_INLINE_SEGMENT_SIZE_MAX 1000000
 
 /** One item; owned by its job. */
 typedef struct {
 	char *id;
-	char *path; /**< at the server, with the query */
+	char *path; /**< path at the server, with the query */
 	char **headers; /**< "Name: value" */
 	size_t header_count;
 	jj_bytes_t body;
-	uint64_t tokens; /**< of the prompt and the most of the output */
+	uint64_t tokens; /**< prompt tokens plus the maximum of output tokens */
 } jj_inline_item_t;
 
 typedef struct {
 	char id[JJ_INLINE_ID_MAX + 1];
-	char *host; /**< of the submission; its route is found by it */
-	char *path; /**< likewise */
+	char *host; /**< of the submission; selects the route */
+	char *path; /**< selects the route, too */
 	int64_t submitted_unix_ms;
 	uint64_t tokens; /**< of all items */
 	size_t item_count;
@@ -49,20 +53,21 @@
 
 /** One result. */
 typedef struct {
-	char *id; /**< of the item; owned */
-	bool done; /**< false: it will never be done */
-	jj_bytes_t text; /**< of a done item: its output; owned */
+	char *id; /**< id of the item; owned */
+	bool done; /**< false: the item was given up */
+	jj_bytes_t text; /**< output, if done; owned */
 } jj_inline_result_t;
 
-/** Results at positions from `first` on. */
+/** A segment: results at positions from `first` on. */
 typedef struct {
 	uint32_t total; /**< items of the job */
 	uint32_t first;
 	uint32_t count;
 	jj_inline_result_t *results; /**< owned */
-	bool sealed; /**< later ones stand in the next segment */
-	bool ended; /**< the job was ended: nothing of it runs any more */
-	char writer[JJ_NAME_MAX + 20]; /**< process that wrote it last */
+	bool sealed; /**< later results are in the next segment */
+	/** The client ended the job: no item of it runs any more. */
+	bool ended;
+	char writer[JJ_NAME_MAX + 20]; /**< last writer, NAME/HEX16 */
 } jj_inline_segment_t;
 
 void jj_inline_job_clear(jj_inline_job_t *job);
@@ -71,22 +76,22 @@
 /** Adds a header line to an item. */
 void jj_inline_item_add_header(
     jj_inline_item_t *item, const char *name, const char *value);
-/** The item of that id, or NULL. */
+/** The item with that id, or NULL. */
 const jj_inline_item_t *
 jj_inline_job_find(const jj_inline_job_t *job, const char *id);
 
-/** The job as JSON text. */
+/** Encodes the job as JSON. */
 jj_bytes_t jj_inline_job_encode(const jj_inline_job_t *job);
 /** False when malformed; then @p job is empty. */
 bool jj_inline_job_decode(jj_inline_job_t *job, const char *text, size_t size);
-/** How many parts a job of so many bytes is cut into; 0: it is stored whole. */
+/** Number of parts for a job of @p size bytes; 0: stored whole. */
 uint32_t jj_inline_count_parts(size_t size);
-/** Part @p part of a job's text as a JSON value. */
+/** Encodes part @p part of a job's text as JSON. */
 jj_bytes_t jj_inline_encode_part(const jj_bytes_t *text, uint32_t part);
-/** The object that stands for a job that was cut. */
-jj_bytes_t jj_inline_encode_cut(uint32_t parts);
-/** How many parts the object names; 0: it is the job itself. */
-uint32_t jj_inline_decode_cut(const jj_bytes_t *object);
+/** Encodes the object stored in place of a job that is split into parts. */
+jj_bytes_t jj_inline_encode_split(uint32_t parts);
+/** Number of parts that the object names; 0: it is the job itself. */
+uint32_t jj_inline_decode_split(const jj_bytes_t *object);
 /** Appends a part's text; false when malformed. */
 bool jj_inline_append_part(jj_bytes_t *text, const jj_bytes_t *object);
 
@@ -97,9 +102,9 @@
 /** Appends a result; its id and text are copied. */
 void jj_inline_segment_add(jj_inline_segment_t *segment, const char *id,
     bool done, const jj_bytes_t *text);
-/** Bytes of all its results as they are stored, but for a few. */
+/** Stored size of its results in bytes, without the few bytes of the frame. */
 size_t jj_inline_segment_size(const jj_inline_segment_t *segment);
-/** Likewise of one result, its text escaped. */
+/** Stored size of one result in bytes, with its text escaped. */
 size_t jj_inline_result_size(const char *id, const jj_bytes_t *text);
 
 #endif
--- a/src/core/inline_op.c
+++ b/src/core/inline_op.c
@@ -1,11 +1,11 @@
 /**
  * @file inline_op.c
- * @brief Callers' reads of results and bodies, and their ends of jobs.
+ * @brief Callers' reads of results and item bodies, and ends of jobs.
  *
- * The VM that runs a job answers reads from what its writes confirmed. Any
- * other one asks that VM when it says that there is news, and the platform
- * when nobody says anything, at the end of the time that the reader lets it
- * wait, so that a read costs one call at most.
+ * The VM that runs a job answers reads from results whose write was confirmed.
+ * Any other VM queries that VM when its reports show new results, and the
+ * platform when there are no reports, at the end of the time that the reader
+ * lets it wait. So a read costs at most one platform call.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -13,17 +13,17 @@
 
 #include "core/inline_state.h"
 
-/** Of a reader's wait, the part after which the platform is asked. */
+/** Share of a reader's wait after which the platform is queried, in tenths. */
 #define WAIT_SHARE_TENTHS 9
-/** Most bytes of one page of results; readers get 1 MB at most. */
-#define PAGE_BYTES 900000
+/** Maximum bytes of one page of results; readers accept up to 1 MB. */
+#define PAGE_BYTES_MAX 900000
 
 static void step_read(jj_inline_t *, jj_inline_op_t *, jj_ms_t, jj_actions_t *);
 static bool
 serve_from_run(jj_inline_t *, jj_inline_op_t *, jj_ms_t, jj_actions_t *);
 static bool
-serve_from_heard(jj_inline_t *, jj_inline_op_t *, jj_ms_t, jj_actions_t *);
-static bool holds(const jj_inline_t *, const jj_inline_run_t *);
+serve_from_peer_state(jj_inline_t *, jj_inline_op_t *, jj_ms_t, jj_actions_t *);
+static bool may_answer(const jj_inline_t *, const jj_inline_run_t *);
 static void start_read(jj_inline_t *, jj_inline_op_t *, jj_actions_t *);
 static void take_read(jj_inline_t *, jj_inline_op_t *,
     const jj_platform_result_t *, jj_ms_t, jj_actions_t *);
@@ -31,13 +31,13 @@
     const jj_platform_result_t *, jj_ms_t, jj_actions_t *);
 static void
 take_no_segment(jj_inline_t *, jj_inline_op_t *, jj_ms_t, jj_actions_t *);
-static void take_job_of_read(jj_inline_t *, jj_inline_op_t *,
+static void take_job_check(jj_inline_t *, jj_inline_op_t *,
     const jj_platform_result_t *, jj_actions_t *);
 static void
 log_read(const jj_inline_op_t *, const char *, uint32_t, jj_actions_t *);
 static void answer_from_run(
     jj_inline_t *, jj_inline_op_t *, const jj_inline_run_t *, jj_actions_t *);
-static jj_inline_segment_t shown_part(const jj_inline_run_t *);
+static jj_inline_segment_t published_part(const jj_inline_run_t *);
 static void answer_page(jj_inline_t *, jj_inline_op_t *,
     const jj_inline_segment_t *, uint32_t, jj_actions_t *);
 static jj_bytes_t write_page(
@@ -53,9 +53,9 @@
 static void take_end(jj_inline_t *, jj_inline_op_t *,
     const jj_platform_result_t *, jj_ms_t, jj_actions_t *);
 static void
-take_entry(jj_inline_t *, jj_inline_op_t *, const jj_platform_result_t *);
+update_entry(jj_inline_t *, jj_inline_op_t *, const jj_platform_result_t *);
 static void
-end_is_durable(jj_inline_t *, jj_inline_op_t *, jj_ms_t, jj_actions_t *);
+confirm_end(jj_inline_t *, jj_inline_op_t *, jj_ms_t, jj_actions_t *);
 static void note_version(jj_inline_t *, const jj_inline_op_t *, uint64_t);
 
 void
@@ -65,14 +65,14 @@
 	jj_inline_op_t *op = jj_inline_add_op(jobs, JJ_OP_READ, operation, id,
 	    now + wait_ms + jobs->settings.read_ms, now);
 	bool is_open = jj_inline_find_open(jobs, id) != NULL ||
-	    jj_inline_find_heard(jobs, id, now) != NULL;
+	    jj_inline_find_peer_state(jobs, id, now) != NULL;
 
 	jobs->now_ms = now;
 	op->after = after;
-	op->look_ms = now;
-	/* Of a job that is not open all results are there: no need to wait. */
+	op->query_ms = now;
+	/* A job that is not open has all its results: no need to wait. */
 	if (is_open)
-		op->look_ms += wait_ms * WAIT_SHARE_TENTHS / 10;
+		op->query_ms += wait_ms * WAIT_SHARE_TENTHS / 10;
 	jj_inline_step_op(jobs, op, now, out);
 }
 
@@ -85,7 +85,7 @@
 
 	op->item = strdup(item);
 	(void)snprintf(op->load.id, sizeof(op->load.id), "%s", id);
-	jj_inline_want_call(&op->load.call, now);
+	jj_inline_schedule_call(&op->load.call, now);
 	jj_inline_step_op(jobs, op, now, out);
 }
 
@@ -96,7 +96,7 @@
 	jj_inline_op_t *op = jj_inline_add_op(jobs, JJ_OP_END, operation, id,
 	    now + jobs->settings.submit_ms, now);
 
-	jj_inline_want_call(&op->end, now);
+	jj_inline_schedule_call(&op->end, now);
 	jj_inline_step_op(jobs, op, now, out);
 }
 
@@ -155,8 +155,8 @@
 	size_t i;
 
 	if (op->kind == JJ_OP_READ && op->get.token == 0 &&
-	    op->get.due_ms == JJ_MS_NEVER && op->look_ms < next)
-		next = op->look_ms;
+	    op->get.due_ms == JJ_MS_NEVER && op->query_ms < next)
+		next = op->query_ms;
 	if (op->kind == JJ_OP_READ && op->peer_ms != 0 && op->get.token == 0 &&
 	    op->get.due_ms == JJ_MS_NEVER && op->peer_ms < next)
 		next = op->peer_ms;
@@ -175,7 +175,7 @@
 	op->kind = kind;
 	op->operation = operation;
 	(void)snprintf(op->id, sizeof(op->id), "%s", id);
-	op->begun_ms = now;
+	op->started_ms = now;
 	op->until_ms = until_ms;
 	jj_inline_end_call(&op->create_job);
 	jj_inline_end_call(&op->create_open);
@@ -192,7 +192,7 @@
 {
 	jj_action_t *action;
 
-	if (!op->forgotten) {
+	if (!op->abandoned) {
 		action = jj_actions_add(out, JJ_ACTION_JOB_ANSWER);
 		action->body.job.operation = op->operation;
 		action->body.job.status = status;
@@ -227,8 +227,8 @@
 	for (op = TAILQ_FIRST(&jobs->ops); op != NULL; op = next) {
 		next = TAILQ_NEXT(op, link);
 		if (op->kind == JJ_OP_READ && strcmp(op->id, run->id) == 0 &&
-		    op->after >= run->segment.first && op->after < run->shown &&
-		    holds(jobs, run))
+		    op->after >= run->segment.first &&
+		    op->after < run->published && may_answer(jobs, run))
 			answer_from_run(jobs, op, run, out);
 	}
 }
@@ -236,13 +236,13 @@
 static void
 step_read(jj_inline_t *jobs, jj_inline_op_t *op, jj_ms_t now, jj_actions_t *out)
 {
-	if (op->forgotten && op->get.token == 0) {
+	if (op->abandoned && op->get.token == 0) {
 		jj_inline_free_op(jobs, op);
 		return;
 	}
 	if (op->get.token == 0 && serve_from_run(jobs, op, now, out))
 		return;
-	if (op->get.token == 0 && serve_from_heard(jobs, op, now, out))
+	if (op->get.token == 0 && serve_from_peer_state(jobs, op, now, out))
 		return;
 	if (now >= op->until_ms) {
 		jj_actions_add_event(out, "job_read_failed",
@@ -252,23 +252,24 @@
 		return;
 	}
 	if (op->get.token == 0 && op->get.due_ms == JJ_MS_NEVER &&
-	    now >= op->look_ms)
-		jj_inline_want_call(&op->get, now);
+	    now >= op->query_ms)
+		jj_inline_schedule_call(&op->get, now);
 	if (jj_inline_is_due(&op->get, now))
 		start_read(jobs, op, out);
 }
 
-/** True when the run here answered the read, or will. */
+/** True when the run on this VM answered the read, or will. */
 static bool
 serve_from_run(
     jj_inline_t *jobs, jj_inline_op_t *op, jj_ms_t now, jj_actions_t *out)
 {
 	const jj_inline_run_t *run = jj_inline_find_run(jobs, op->id);
 
-	if (run == NULL || !holds(jobs, run) || op->after < run->segment.first)
+	if (run == NULL || !may_answer(jobs, run) ||
+	    op->after < run->segment.first)
 		return false;
-	if (op->after < run->shown || op->after >= run->segment.total ||
-	    now >= op->look_ms || run->state == JJ_RUN_CLOSED) {
+	if (op->after < run->published || op->after >= run->segment.total ||
+	    now >= op->query_ms || run->state == JJ_RUN_CLOSED) {
 		answer_from_run(jobs, op, run, out);
 		return true;
 	}
@@ -276,46 +277,48 @@
 }
 
 /**
- * True when what the VM that runs the job says is answer enough: there is
- * nothing new. It is younger than the time in which positions that were read
- * at one VM have to be known at all.
+ * True when the report of the VM that runs the job suffices as an answer:
+ * nothing is new. A report is valid for less time than the one within which a
+ * position read at one VM has to be known at all of them.
  */
 static bool
-serve_from_heard(
+serve_from_peer_state(
     jj_inline_t *jobs, jj_inline_op_t *op, jj_ms_t now, jj_actions_t *out)
 {
-	const jj_heard_state_t *heard = jj_inline_find_heard(jobs, op->id, now);
+	const jj_peer_state_t *peer_state =
+	    jj_inline_find_peer_state(jobs, op->id, now);
 
-	if (heard == NULL || op->asks_job || op->get.due_ms != JJ_MS_NEVER)
+	if (peer_state == NULL || op->checks_job ||
+	    op->get.due_ms != JJ_MS_NEVER)
 		return false;
-	if (op->after < heard->state.shown) {
-		if (jj_inline_ask_peer(jobs, op, now, out))
+	if (op->after < peer_state->state.shown) {
+		if (jj_inline_query_peer(jobs, op, now, out))
 			return true;
-		op->look_ms = now;
+		op->query_ms = now;
 		return false;
 	}
-	if (now >= op->look_ms) {
-		log_read(op, "heard", heard->state.shown, out);
-		answer_page(jobs, op, NULL, heard->state.total, out);
+	if (now >= op->query_ms) {
+		log_read(op, "heard", peer_state->state.shown, out);
+		answer_page(jobs, op, NULL, peer_state->state.total, out);
 	}
 	return true;
 }
 
 /**
- * Guards against a reader that saw more elsewhere: a VM that was frozen or
- * cut off while another one took its job over does not know what that one has
- * shown. It answers by itself only while the list says that the job is its
- * own; a job that it has just accepted is not listed yet.
+ * A VM that was paused or disconnected while another one took its job over does
+ * not know what that VM has published, and must not answer less than the reader
+ * saw elsewhere. So it answers from memory only while the list of open entries
+ * names it as the owner; a job that it has just accepted is not listed yet.
  */
 static bool
-holds(const jj_inline_t *jobs, const jj_inline_run_t *run)
+may_answer(const jj_inline_t *jobs, const jj_inline_run_t *run)
 {
 	const jj_open_entry_t *entry = jj_inline_find_open(jobs, run->id);
 
 	if (run->state != JJ_RUN_RUNNING && run->state != JJ_RUN_CLOSING &&
 	    run->state != JJ_RUN_CLOSED)
 		return false;
-	if (!jj_inline_can_speak(jobs, run))
+	if (!jj_inline_is_current(jobs, run))
 		return false;
 	return entry == NULL || entry->version <= run->open_version ||
 	    strcmp(entry->owner, jobs->settings.writer) == 0;
@@ -327,7 +330,7 @@
 	jj_platform_call_t *call =
 	    jj_inline_start_call(jobs, &op->get, JJ_PLATFORM_GET, out);
 
-	if (op->asks_job)
+	if (op->checks_job)
 		(void)snprintf(call->key, sizeof(call->key), "%s%s",
 		    JJ_INLINE_JOBS, op->id);
 	else
@@ -339,7 +342,7 @@
 take_read(jj_inline_t *jobs, jj_inline_op_t *op,
     const jj_platform_result_t *result, jj_ms_t now, jj_actions_t *out)
 {
-	if (op->forgotten) {
+	if (op->abandoned) {
 		jj_inline_free_op(jobs, op);
 		return;
 	}
@@ -348,8 +351,8 @@
 		jj_inline_back_off(jobs, &op->get, now);
 		return;
 	}
-	if (op->asks_job)
-		take_job_of_read(jobs, op, result, out);
+	if (op->checks_job)
+		take_job_check(jobs, op, result, out);
 	else if (result->outcome == JJ_PLATFORM_OK)
 		take_segment(jobs, op, result, now, out);
 	else
@@ -369,7 +372,7 @@
 	op->total = segment.total;
 	if (segment.sealed && op->after >= segment.first + segment.count) {
 		op->segment_number++;
-		jj_inline_want_call(&op->get, now);
+		jj_inline_schedule_call(&op->get, now);
 		start_read(jobs, op, out);
 	} else {
 		log_read(op, "store", segment.first + segment.count, out);
@@ -390,13 +393,13 @@
 		answer_page(jobs, op, NULL, total, out);
 		return;
 	}
-	op->asks_job = true;
-	jj_inline_want_call(&op->get, now);
+	op->checks_job = true;
+	jj_inline_schedule_call(&op->get, now);
 	start_read(jobs, op, out);
 }
 
 static void
-take_job_of_read(jj_inline_t *jobs, jj_inline_op_t *op,
+take_job_check(jj_inline_t *jobs, jj_inline_op_t *op,
     const jj_platform_result_t *result, jj_actions_t *out)
 {
 	jj_inline_job_t job;
@@ -405,7 +408,7 @@
 		jj_inline_answer(jobs, op, 404, NULL, out);
 		return;
 	}
-	/* A cut job's size is known once its entry is listed. */
+	/* The size of a split job is known only once its entry is listed. */
 	if (!jj_inline_job_decode(
 		&job, result->value.data, result->value.size)) {
 		jj_inline_answer(jobs, op, 503, NULL, out);
@@ -416,53 +419,55 @@
 }
 
 /**
- * Guards against a position that changes: results whose write is under way
- * stand behind those that are shown. If the write fails, others may take
- * their positions, so a reader must not see them.
+ * Leaves out results whose write is not confirmed: they follow the published
+ * ones in the segment. If the write fails, others may take their positions, so
+ * a reader must not see them.
  */
 static jj_inline_segment_t
-shown_part(const jj_inline_run_t *run)
+published_part(const jj_inline_run_t *run)
 {
-	jj_inline_segment_t shown = run->segment;
+	jj_inline_segment_t published = run->segment;
 
-	shown.count = run->shown - shown.first;
-	return shown;
+	published.count = run->published - published.first;
+	return published;
 }
 
 static void
 answer_from_run(jj_inline_t *jobs, jj_inline_op_t *op,
     const jj_inline_run_t *run, jj_actions_t *out)
 {
-	jj_inline_segment_t shown = shown_part(run);
+	jj_inline_segment_t published = published_part(run);
 
-	log_read(op, "run", run->shown, out);
-	answer_page(jobs, op, &shown, shown.total, out);
+	log_read(op, "run", run->published, out);
+	answer_page(jobs, op, &published, published.total, out);
 }
 
 jj_bytes_t
 jj_inline_page_of_run(const jj_inline_t *jobs, const jj_inline_run_t *run,
-    uint32_t after, size_t most)
+    uint32_t after, size_t max_bytes)
 {
 	jj_bytes_t none = {0};
-	jj_inline_segment_t shown;
+	jj_inline_segment_t published;
 
-	if (!holds(jobs, run) || after < run->segment.first ||
-	    after >= run->shown)
+	if (!may_answer(jobs, run) || after < run->segment.first ||
+	    after >= run->published)
 		return none;
-	shown = shown_part(run);
-	if (jj_inline_segment_size(&shown) > most)
+	published = published_part(run);
+	if (jj_inline_segment_size(&published) > max_bytes)
 		return none;
-	return write_page(jobs, &shown, after, shown.total);
+	return write_page(jobs, &published, after, published.total);
 }
 
-/** Where an answer came from: the run here, its VM's word, the platform. */
+/**
+ * Logs where an answer came from: this VM's run, a peer's report, the platform.
+ */
 static void
-log_read(const jj_inline_op_t *op, const char *source, uint32_t shown,
+log_read(const jj_inline_op_t *op, const char *source, uint32_t published,
     jj_actions_t *out)
 {
 	jj_actions_add_event(out, "job_read",
 	    "job=%s after=%u shown=%u source=%s segment=%u", op->id, op->after,
-	    shown, source, op->segment_number);
+	    published, source, op->segment_number);
 }
 
 static void
@@ -476,7 +481,7 @@
 }
 
 /**
- * The results from @p after on, as many as a page holds.
+ * Encodes the results from @p after on, as many as fit into a page.
  * @param segment that has them, or NULL when there are none.
  */
 static jj_bytes_t
@@ -493,7 +498,7 @@
 		page.results = &segment->results[at];
 		for (; at < segment->count; at++) {
 			size += segment->results[at].text.size;
-			if (page.count > 0 && size > PAGE_BYTES)
+			if (page.count > 0 && size > PAGE_BYTES_MAX)
 				break;
 			page.count++;
 		}
@@ -533,7 +538,7 @@
 take_item(jj_inline_t *jobs, jj_inline_op_t *op,
     const jj_platform_result_t *result, jj_ms_t now, jj_actions_t *out)
 {
-	jj_inline_loaded_t loaded =
+	jj_inline_load_result_t loaded =
 	    jj_inline_take_load(jobs, &op->load, result, now);
 	jj_inline_job_t job;
 
@@ -568,14 +573,14 @@
 	if (!jj_inline_is_due(&op->end, now))
 		return;
 	entry = jj_inline_find_open(jobs, op->id);
-	if (entry != NULL && !op->asks_job && !op->reads_open) {
+	if (entry != NULL && !op->checks_job && !op->reads_entry) {
 		start_update(jobs, op, entry, out);
 		return;
 	}
 	call = jj_inline_start_call(jobs, &op->end, JJ_PLATFORM_GET, out);
 	(void)snprintf(call->key, sizeof(call->key), "%s%s",
-	    op->asks_job ? JJ_INLINE_JOBS : JJ_INLINE_OPEN, op->id);
-	op->reads_open = !op->asks_job;
+	    op->checks_job ? JJ_INLINE_JOBS : JJ_INLINE_OPEN, op->id);
+	op->reads_entry = !op->checks_job;
 }
 
 static void
@@ -585,7 +590,7 @@
 	jj_platform_call_t *call =
 	    jj_inline_start_call(jobs, &op->end, JJ_PLATFORM_UPDATE, out);
 
-	op->reads_open = false;
+	op->reads_entry = false;
 	(void)snprintf(op->owner, sizeof(op->owner), "%s", entry->owner);
 	(void)snprintf(
 	    call->key, sizeof(call->key), "%s%s", JJ_INLINE_OPEN, op->id);
@@ -599,7 +604,7 @@
     const jj_platform_result_t *result, jj_ms_t now, jj_actions_t *out)
 {
 	jj_open_entry_t stored = {0};
-	bool asked_job = op->asks_job;
+	bool asked_job = op->checks_job;
 
 	switch (result->outcome) {
 	case JJ_PLATFORM_ABSENT:
@@ -607,51 +612,54 @@
 			jj_inline_answer(jobs, op, 404, NULL, out);
 			return;
 		}
-		/* Nothing runs any more; was there such a job? */
-		op->asks_job = true;
-		jj_inline_want_call(&op->end, now);
+		/* The job is not open: check that it exists. */
+		op->checks_job = true;
+		jj_inline_schedule_call(&op->end, now);
 		break;
 	case JJ_PLATFORM_OK:
 		if (asked_job) {
 			jj_inline_answer(jobs, op, 200, NULL, out);
 			return;
 		}
-		if (!op->reads_open) {
+		if (!op->reads_entry) {
 			note_version(jobs, op, result->version);
-			end_is_durable(jobs, op, now, out);
+			confirm_end(jobs, op, now, out);
 			return;
 		}
 		/* fall through */
 	case JJ_PLATFORM_CONFLICT:
 		if (!jj_inline_decode_open(&stored, &result->value)) {
-			op->reads_open = true;
+			op->reads_entry = true;
 			jj_inline_back_off(jobs, &op->end, now);
 			return;
 		}
-		take_entry(jobs, op, result);
+		update_entry(jobs, op, result);
 		if (stored.ended) {
 			(void)snprintf(
 			    op->owner, sizeof(op->owner), "%s", stored.owner);
-			end_is_durable(jobs, op, now, out);
+			confirm_end(jobs, op, now, out);
 			return;
 		}
 		stored.version = result->version;
 		(void)snprintf(stored.id, sizeof(stored.id), "%s", op->id);
-		jj_inline_want_call(&op->end, now);
+		jj_inline_schedule_call(&op->end, now);
 		start_update(jobs, op, &stored, out);
 		return;
 	default:
-		/* A write with a lost answer may have ended it: look. */
-		op->reads_open = true;
+		/*
+		 * A write whose answer was lost may have ended it: read it
+		 * back.
+		 */
+		op->reads_entry = true;
 		jj_inline_back_off(jobs, &op->end, now);
 		return;
 	}
 	step_end(jobs, op, now, out);
 }
 
-/** What was read is news for the list of open jobs as well. */
+/** Updates the copy of the open entry with what was read. */
 static void
-take_entry(
+update_entry(
     jj_inline_t *jobs, jj_inline_op_t *op, const jj_platform_result_t *result)
 {
 	jj_open_entry_t *entry = jj_inline_find_open(jobs, op->id);
@@ -662,7 +670,9 @@
 		entry->version = result->version;
 }
 
-/** The entry's version after our own write, for the run that closes it. */
+/**
+ * Keeps the entry's version after this VM's write, for the run that closes it.
+ */
 static void
 note_version(jj_inline_t *jobs, const jj_inline_op_t *op, uint64_t version)
 {
@@ -673,7 +683,7 @@
 }
 
 static void
-end_is_durable(
+confirm_end(
     jj_inline_t *jobs, jj_inline_op_t *op, jj_ms_t now, jj_actions_t *out)
 {
 	jj_actions_add_event(
--- a/src/core/inline_open.c
+++ b/src/core/inline_open.c
@@ -1,6 +1,6 @@
 /**
  * @file inline_open.c
- * @brief The list of open jobs: who runs each, and which one has lost its VM.
+ * @brief The open entries: which VM runs each job, and takeover of lost ones.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -11,17 +11,17 @@
 #include "core/inline_state.h"
 #include "core/json_text.h"
 
-/** Token of the mirror's calls; those of other calls count up from it. */
+/** Token of the mirror's calls; tokens of other calls count up from it. */
 #define TOKEN_MIRROR 1
-/** Between looks at entries whose owner may be lost, ms. */
-#define LOOK_MS 250
-/** A failed takeover rests before the next try, ms. */
-#define TAKEOVER_REST_MS 500
+/** Interval of scans for entries whose owner is lost, ms. */
+#define SCAN_INTERVAL_MS 250
+/** Delay after a failed takeover, ms. */
+#define TAKEOVER_RETRY_MS 500
 /**
- * A VM that comes first has so much time for a takeover before the next one
- * stands in: two looks and a write that the platform answers late, ms.
+ * Time that each VM has for a takeover before the next one in rank tries it,
+ * ms: two scans and a write that the platform answers late.
  */
-#define STAND_IN_MS 2000
+#define RANK_DELAY_MS 2000
 
 static void
 relay(void *, uint64_t, uint64_t, uint64_t, const jj_platform_item_t *, size_t);
@@ -30,10 +30,11 @@
 static void drop_entry(void *, const char *);
 static void end_list(void *, jj_ms_t);
 static void set_content(jj_open_entry_t *, const jj_open_entry_t *);
-static void lose_entry(jj_inline_t *, jj_open_entry_t *);
+static void remove_entry(jj_inline_t *, jj_open_entry_t *);
 static void free_entry(jj_inline_t *, jj_open_entry_t *);
-static void look_at(jj_inline_t *, jj_open_entry_t *, jj_ms_t, jj_actions_t *);
-static bool is_due(jj_inline_t *, jj_open_entry_t *, jj_ms_t);
+static void
+check_entry(jj_inline_t *, jj_open_entry_t *, jj_ms_t, jj_actions_t *);
+static bool is_takeover_due(jj_inline_t *, jj_open_entry_t *, jj_ms_t);
 static void start_takeover(jj_inline_t *, jj_open_entry_t *, jj_actions_t *);
 
 void
@@ -106,17 +107,17 @@
 jj_inline_open_tokens(
     const jj_inline_t *jobs, const jj_name_t *route, jj_ms_t now)
 {
-	uint64_t tokens = jj_inline_heard_tokens(jobs, route, now);
+	uint64_t tokens = jj_inline_peer_tokens(jobs, route, now);
 	const jj_open_entry_t *entry;
 	const jj_inline_run_t *run;
 	const jj_inline_op_t *op;
 
-	/* Of a job that nobody speaks of all its tokens count. */
+	/* All tokens of a job count when no VM reports about it. */
 	TAILQ_FOREACH(entry, &jobs->open, link)
 	{
 		if (!entry->ended && jj_name_equal(&entry->route, route) &&
 		    jj_inline_find_run(jobs, entry->id) == NULL &&
-		    jj_inline_find_heard(jobs, entry->id, now) == NULL)
+		    jj_inline_find_peer_state(jobs, entry->id, now) == NULL)
 			tokens += entry->tokens;
 	}
 	TAILQ_FOREACH(run, &jobs->runs, link)
@@ -149,25 +150,25 @@
 	jj_mirror_take_relay(&jobs->mirror, from, to, items, count, now);
 	if (count == 0)
 		return;
-	jobs->next_look_ms = now;
-	jj_inline_look_at_open(jobs, now, out);
+	jobs->next_scan_ms = now;
+	jj_inline_scan_open(jobs, now, out);
 }
 
 void
-jj_inline_look_at_open(jj_inline_t *jobs, jj_ms_t now, jj_actions_t *out)
+jj_inline_scan_open(jj_inline_t *jobs, jj_ms_t now, jj_actions_t *out)
 {
 	jj_open_entry_t *entry;
 
-	if (now < jobs->next_look_ms)
+	if (now < jobs->next_scan_ms)
 		return;
-	jobs->next_look_ms = now + LOOK_MS;
+	jobs->next_scan_ms = now + SCAN_INTERVAL_MS;
 	if (jobs->unreadable > 0)
 		jj_actions_add_event(out, "job_entry_unreadable",
 		    "last=%s count=%u", jobs->unreadable_id, jobs->unreadable);
 	jobs->unreadable = 0;
 	TAILQ_FOREACH(entry, &jobs->open, link)
 	{
-		look_at(jobs, entry, now, out);
+		check_entry(jobs, entry, now, out);
 	}
 }
 
@@ -186,9 +187,9 @@
 	if (entry == NULL || result->token == 0)
 		return false;
 	entry->token = 0;
-	entry->retry_ms = now + TAKEOVER_REST_MS;
+	entry->retry_ms = now + TAKEOVER_RETRY_MS;
 	if (result->outcome != JJ_PLATFORM_OK) {
-		/* A takeover that took effect shows in the list. */
+		/* If it took effect after all, the list will show it. */
 		jj_actions_add_event(out, "job_takeover_failed",
 		    "job=%s owner=%s outcome=%d", entry->id, entry->owner,
 		    (int)result->outcome);
@@ -202,7 +203,7 @@
 	entry->version = result->version;
 	jobs->counts.takeovers++;
 	run = jj_inline_adopt(jobs, entry, now);
-	/* Before anything of it is read: an ended job runs nothing. */
+	/* Set before the job is read, as no item of an ended job may run. */
 	run->ended = run->ended || entry->ended;
 	return true;
 }
@@ -247,7 +248,7 @@
 		TAILQ_INSERT_TAIL(&jobs->open, entry, link);
 	}
 	entry->listed = true;
-	/* An own write may be known before the watch brings it. */
+	/* A write of this VM may be known before the watch reports it. */
 	if (item->version <= entry->version)
 		return;
 	is_known = entry->version > 0;
@@ -258,8 +259,9 @@
 		return;
 	}
 	/*
-	 * Another writer's. What it stood for is still known here, and a
-	 * takeover writes it anew; without that it is left alone.
+	 * Malformed, by another writer. Keeps the previous content, if any, so
+	 * that a takeover can rewrite the entry; without it the entry is left
+	 * alone.
 	 */
 	jobs->unreadable++;
 	(void)snprintf(
@@ -285,7 +287,7 @@
 	jj_open_entry_t *entry = jj_inline_find_open(jobs, jj_object_name(key));
 
 	if (entry != NULL)
-		lose_entry(jobs, entry);
+		remove_entry(jobs, entry);
 }
 
 static void
@@ -299,15 +301,15 @@
 	for (entry = TAILQ_FIRST(&jobs->open); entry != NULL; entry = next) {
 		next = TAILQ_NEXT(entry, link);
 		if (!entry->listed)
-			lose_entry(jobs, entry);
+			remove_entry(jobs, entry);
 	}
 }
 
-/** The platform has it no more. */
+/** The entry was deleted on the platform. */
 static void
-lose_entry(jj_inline_t *jobs, jj_open_entry_t *entry)
+remove_entry(jj_inline_t *jobs, jj_open_entry_t *entry)
 {
-	jj_inline_note_unlisted(jobs, entry->id);
+	jj_inline_note_missing_entry(jobs, entry->id);
 	free_entry(jobs, entry);
 }
 
@@ -319,7 +321,7 @@
 }
 
 static void
-look_at(
+check_entry(
     jj_inline_t *jobs, jj_open_entry_t *entry, jj_ms_t now, jj_actions_t *out)
 {
 	jj_inline_run_t *run = jj_inline_find_run(jobs, entry->id);
@@ -333,11 +335,11 @@
 		jj_inline_drop_run(jobs, run);
 		return;
 	}
-	/* A VM that stops still lets go of what it has lost; it takes nothing. */
+	/* A VM that stops still drops jobs it has lost, but takes none over. */
 	if (jobs->leaving && run == NULL)
 		return;
 	if (is_own) {
-		/* A write of ours whose answer was lost made it ours. */
+		/* Owned through a write whose answer was lost. */
 		if (run == NULL)
 			run = jj_inline_adopt(jobs, entry, now);
 		if (entry->version > run->open_version)
@@ -347,26 +349,28 @@
 		return;
 	}
 	/*
-	 * A list that may be old still shows what this VM has lost, and a job
-	 * that it goes on with is shown twice. It does not show who is lost.
+	 * An outdated list still shows which jobs this VM has lost, and going
+	 * on with one would publish results twice. It does not show which
+	 * owners are lost.
 	 */
 	if (jobs->leaving || !jj_mirror_is_current(&jobs->mirror))
 		return;
 	if (entry->token == 0 && now >= entry->retry_ms &&
-	    is_due(jobs, entry, now))
+	    is_takeover_due(jobs, entry, now))
 		start_takeover(jobs, entry, out);
 }
 
 /**
- * An owner that is silent may be frozen or cut off, and a job that two VMs run
- * is work done twice; so it is given some time. One that let go is not. The
- * VM that is to take the job over may itself not reach the platform, or not
- * know the job: the others follow one by one.
+ * True when it is this VM's turn to take the entry over. An owner without
+ * heartbeats may be paused or disconnected, and a job run by two VMs is work
+ * done twice, so the takeover is delayed; but not when the owner released the
+ * entry. The VM that is first in rank may itself not reach the platform, or not
+ * know the job, so the others follow one by one.
  */
 static bool
-is_due(jj_inline_t *jobs, jj_open_entry_t *entry, jj_ms_t now)
+is_takeover_due(jj_inline_t *jobs, jj_open_entry_t *entry, jj_ms_t now)
 {
-	jj_ms_t patience = jobs->settings.takeover_ms;
+	jj_ms_t delay_ms = jobs->settings.takeover_ms;
 
 	if (entry->owner[0] != '\0' &&
 	    jobs->port.is_live(jobs->port.ctx, entry->owner)) {
@@ -374,20 +378,21 @@
 		return false;
 	}
 	/*
-	 * Silence while this VM was cut off says nothing of the others: back
-	 * at the platform before it hears them, it took their jobs over.
+	 * Heartbeats that were missed while this VM was disconnected don't
+	 * count: back at the platform before it received any, it took over jobs
+	 * of VMs that were alive.
 	 */
 	if (entry->lost_ms == JJ_MS_NEVER ||
 	    entry->lost_ms < jobs->port.reached_ms(jobs->port.ctx))
 		entry->lost_ms = now;
 	if (!jobs->port.hears_others(jobs->port.ctx))
-		patience = jobs->settings.alone_ms;
+		delay_ms = jobs->settings.alone_ms;
 	if (entry->owner[0] == '\0')
-		patience = 0;
-	if (now - entry->lost_ms < patience)
+		delay_ms = 0;
+	if (now - entry->lost_ms < delay_ms)
 		return false;
-	patience += STAND_IN_MS * jobs->port.rank(jobs->port.ctx, entry->id);
-	return now - entry->lost_ms >= patience;
+	delay_ms += RANK_DELAY_MS * jobs->port.rank(jobs->port.ctx, entry->id);
+	return now - entry->lost_ms >= delay_ms;
 }
 
 static void
--- a/src/core/inline_peer.c
+++ b/src/core/inline_peer.c
@@ -1,13 +1,13 @@
 /**
  * @file inline_peer.c
- * @brief Results for a reader here, from the VM that runs the job.
+ * @brief Reads results from the VM that runs the job.
  *
- * Each read at the platform is a call, and while the platform is away there is
- * no answer at all. The VM that runs the job has what is shown in its memory,
- * and answers by the same rule as its own readers (see holds() in inline_op.c).
- * What it tells was confirmed by a write and never changes, so an answer that
- * comes late is as good as one in time. On a quiet day of 53 VMs 880 of 2,900
- * calls were such reads.
+ * A read from the platform costs a call, and gets no answer during an outage of
+ * the platform. The VM that runs the job has the published results in memory,
+ * and answers by the same rule as for its own readers (see may_answer() in
+ * inline_op.c). What it sends was confirmed by a write and never changes, so a
+ * late answer is still correct. On a quiet day with 53 VMs 880 of 2,900
+ * platform calls were such reads.
  */
 #include <stdio.h>
 #include <string.h>
@@ -15,28 +15,33 @@
 #include "core/inline_state.h"
 
 /**
- * The answer is waited for so long, ms: a message and its answer take some
- * ms between VMs that are well, and the platform is asked after it.
+ * Timeout for the answer, ms: a message and its answer take a few ms between
+ * healthy VMs, and the platform is queried after it.
  */
-#define PEER_WAIT_MS 200
-/** Largest page that travels so, bytes: half of that time on 30 Mbit/s. */
-#define PEER_PAGE_BYTES 300000
+#define PEER_TIMEOUT_MS 200
+/**
+ * Largest page sent in such an answer, bytes: takes half of that timeout on 30
+ * Mbit/s.
+ */
+#define PEER_PAGE_BYTES_MAX 300000
 
 static jj_inline_op_t *find_read(const jj_inline_t *, const jj_message_t *);
 
 bool
-jj_inline_ask_peer(
+jj_inline_query_peer(
     jj_inline_t *jobs, jj_inline_op_t *op, jj_ms_t now, jj_actions_t *out)
 {
-	const jj_heard_state_t *heard = jj_inline_find_heard(jobs, op->id, now);
+	const jj_peer_state_t *peer_state =
+	    jj_inline_find_peer_state(jobs, op->id, now);
 	jj_message_t *message;
 
 	if (op->peer_ms != 0)
 		return now < op->peer_ms;
-	if (heard == NULL || jj_name_is_empty(&heard->vm))
+	if (peer_state == NULL || jj_name_is_empty(&peer_state->vm))
 		return false;
-	op->peer_ms = now + PEER_WAIT_MS;
-	message = jj_actions_add_message(out, &heard->vm, JJ_MESSAGE_JOB_READ);
+	op->peer_ms = now + PEER_TIMEOUT_MS;
+	message =
+	    jj_actions_add_message(out, &peer_state->vm, JJ_MESSAGE_JOB_READ);
 	message->body.job_page.operation = op->operation;
 	message->body.job_page.after = op->after;
 	(void)snprintf(message->body.job_page.job,
@@ -58,8 +63,8 @@
 	memcpy(answer->body.job_page.job, message->body.job_page.job,
 	    sizeof(answer->body.job_page.job));
 	if (run != NULL)
-		answer->body.job_page.page = jj_inline_page_of_run(
-		    jobs, run, message->body.job_page.after, PEER_PAGE_BYTES);
+		answer->body.job_page.page = jj_inline_page_of_run(jobs, run,
+		    message->body.job_page.after, PEER_PAGE_BYTES_MAX);
 }
 
 void
@@ -82,8 +87,9 @@
 }
 
 /**
- * Guards against a page of another job: after a restart the numbers of
- * operations begin anew, and an answer to the process before may still come.
+ * The job and the position have to match, too: after a restart operations are
+ * numbered from the start again, and an answer to the previous process may
+ * still arrive.
  */
 static jj_inline_op_t *
 find_read(const jj_inline_t *jobs, const jj_message_t *message)
--- a/src/core/inline_publish.c
+++ b/src/core/inline_publish.c
@@ -2,9 +2,10 @@
  * @file inline_publish.c
  * @brief Results of a job, appended to its list by conditional updates.
  *
- * Only what a write confirmed is shown. A write whose outcome is not known,
- * or that met another VM's, is followed by a read of the segment: what stands
- * there is the truth, and what of ours does not is appended anew.
+ * Only results whose write was confirmed are published to readers. After a
+ * write whose outcome is unknown, or that conflicted with another VM's, the
+ * segment is read back: what is stored is authoritative, and results of this VM
+ * that are missing there are appended again.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -20,17 +21,17 @@
 static void take_read(jj_inline_t *, jj_inline_run_t *,
     const jj_platform_result_t *, jj_ms_t, jj_actions_t *);
 static void end_catching_up(jj_inline_t *, jj_inline_run_t *, jj_actions_t *);
-static void take_back(jj_inline_run_t *);
-static void show_written(jj_inline_t *, jj_inline_run_t *);
-static void show_stored(jj_inline_t *, jj_inline_run_t *);
-static void show(jj_inline_t *, jj_inline_run_t *, const char *);
+static void remove_unconfirmed(jj_inline_run_t *);
+static void publish_written(jj_inline_t *, jj_inline_run_t *);
+static void publish_stored(jj_inline_t *, jj_inline_run_t *);
+static void mark_published(jj_inline_t *, jj_inline_run_t *, const char *);
 static void begin_segment(jj_inline_run_t *);
-static bool wants_end(const jj_inline_run_t *);
-static bool has_finished(const jj_inline_run_t *);
+static bool needs_end(const jj_inline_run_t *);
+static bool has_unpublished(const jj_inline_run_t *);
 static bool is_all_finished(const jj_inline_run_t *);
 
 void
-jj_inline_want_publish(jj_inline_t *jobs, jj_inline_run_t *run, jj_ms_t now)
+jj_inline_schedule_publish(jj_inline_t *jobs, jj_inline_run_t *run, jj_ms_t now)
 {
 	jj_ms_t at = now + jobs->settings.publish_ms;
 
@@ -46,21 +47,22 @@
 {
 	if (run->write.token != 0)
 		return;
-	if (run->unlisted && !run->rereads) {
-		run->rereads = true;
-		jj_inline_want_call(&run->write, now);
+	if (run->entry_missing && !run->reads_back) {
+		run->reads_back = true;
+		jj_inline_schedule_call(&run->write, now);
 	}
-	if (run->rereads) {
+	if (run->reads_back) {
 		if (jj_inline_is_due(&run->write, now))
 			read_segment(jobs, run, out);
 		return;
 	}
 	if (run->write.due_ms != JJ_MS_NEVER && now < run->write.due_ms)
 		return;
-	if (!jj_inline_is_sure(jobs))
+	if (!jj_inline_is_verified(jobs))
 		return;
-	if (run->fences ||
-	    (now >= run->publish_ms && (has_finished(run) || wants_end(run))))
+	if (run->needs_fence ||
+	    (now >= run->publish_ms &&
+		(has_unpublished(run) || needs_end(run))))
 		write_segment(jobs, run, out);
 }
 
@@ -70,7 +72,7 @@
 {
 	if (result->token != run->write.token)
 		return false;
-	if (run->rereads)
+	if (run->reads_back)
 		take_read(jobs, run, result, now, out);
 	else
 		take_written(jobs, run, result, now, out);
@@ -91,21 +93,21 @@
 		if (item->state != JJ_ITEM_FINISHED)
 			continue;
 		/*
-		 * Guards against an object that the store refuses each time:
-		 * its results would never be shown.
+		 * A segment larger than the store's limit would be refused each
+		 * time, and its results never be published.
 		 */
 		size +=
 		    jj_inline_result_size(run->job.items[i].id, &item->text);
-		if (segment->count > 0 && size > JJ_INLINE_SEGMENT_MOST) {
+		if (segment->count > 0 && size > JJ_INLINE_SEGMENT_SIZE_MAX) {
 			segment->sealed = true;
 			break;
 		}
 		jj_inline_segment_add(
 		    segment, run->job.items[i].id, item->done, &item->text);
-		run->writing++;
+		run->unconfirmed++;
 		segment->sealed = size >= JJ_INLINE_SEGMENT_BYTES;
 	}
-	run->write_ms = jobs->now_ms;
+	run->write_sent_ms = jobs->now_ms;
 	segment->ended = segment->ended || run->ended;
 	(void)snprintf(segment->writer, sizeof(segment->writer), "%s",
 	    jobs->settings.writer);
@@ -128,10 +130,10 @@
 }
 
 static void
-set_key(const jj_inline_run_t *run, char *key, size_t room)
+set_key(const jj_inline_run_t *run, char *key, size_t key_size)
 {
-	(void)snprintf(
-	    key, room, "%s%s.%u", JJ_INLINE_OUT, run->id, run->segment_number);
+	(void)snprintf(key, key_size, "%s%s.%u", JJ_INLINE_OUT, run->id,
+	    run->segment_number);
 }
 
 static void
@@ -141,34 +143,35 @@
 	if (result->outcome == JJ_PLATFORM_OK) {
 		jj_inline_end_call(&run->write);
 		run->segment_version = result->version;
-		/* On that version nobody else had written. */
-		run->unlisted = false;
-		if (run->fences) {
+		/* The condition held, so no other VM had written. */
+		run->entry_missing = false;
+		if (run->needs_fence) {
 			end_catching_up(jobs, run, out);
 			return;
 		}
 		jj_actions_add_event(out, "results_shown",
-		    "job=%s from=%u count=%u version=%llu", run->id, run->shown,
-		    run->writing, (unsigned long long)result->version);
-		show_written(jobs, run);
+		    "job=%s from=%u count=%u version=%llu", run->id,
+		    run->published, run->unconfirmed,
+		    (unsigned long long)result->version);
+		publish_written(jobs, run);
 		jj_inline_serve_readers(jobs, run, out);
 		if (run->segment.sealed)
 			begin_segment(run);
-		if (has_finished(run))
-			jj_inline_want_publish(jobs, run, now);
+		if (has_unpublished(run))
+			jj_inline_schedule_publish(jobs, run, now);
 		return;
 	}
-	take_back(run);
+	remove_unconfirmed(run);
 	run->publish_ms = now;
-	if (jj_inline_surely_failed(result->outcome)) {
+	if (jj_inline_had_no_effect(result->outcome)) {
 		jj_inline_back_off(jobs, &run->write, now);
 		return;
 	}
 	jobs->counts.publish_conflicts++;
 	jj_actions_add_event(out, "results_reread", "job=%s outcome=%d",
 	    run->id, (int)result->outcome);
-	run->rereads = true;
-	jj_inline_want_call(&run->write, now);
+	run->reads_back = true;
+	jj_inline_schedule_call(&run->write, now);
 }
 
 static void
@@ -183,15 +186,15 @@
 		run->segment = stored;
 		run->segment_version = result->version;
 		/*
-		 * Guards against a VM that has lost its job and goes on
-		 * writing: the one that has it now wrote to it. Whose it is
-		 * shows in the list.
+		 * Another VM wrote to the segment, so this one may have lost
+		 * the job and must not continue to write. The list of open
+		 * entries shows the owner.
 		 */
 		if (run->state == JJ_RUN_RUNNING &&
 		    strcmp(stored.writer, jobs->settings.writer) != 0)
-			jj_inline_doubt(jobs);
-		show_stored(jobs, run);
-		jj_inline_want_call(&run->write, now);
+			jj_inline_require_check(jobs);
+		publish_stored(jobs, run);
+		jj_inline_schedule_call(&run->write, now);
 		if (stored.sealed) {
 			begin_segment(run);
 			return;
@@ -201,82 +204,80 @@
 		return;
 	}
 	jj_inline_end_call(&run->write);
-	run->rereads = false;
-	run->unlisted = false;
+	run->reads_back = false;
+	run->entry_missing = false;
 	if (run->segment.ended)
 		jj_inline_end_run(run, jobs, now);
-	if (wants_end(run))
+	if (needs_end(run))
 		run->publish_ms = now;
-	if (!run->fences)
+	if (!run->needs_fence)
 		jj_inline_serve_readers(jobs, run, out);
 }
 
 /**
- * Guards against results that appear behind the back of the VM that runs the
- * job now: a write of the one before it that was under way when its VM was
- * cut off takes effect when the cut heals. Readers elsewhere see its results,
- * while this VM says that there are none. Its own first write, on the version
- * that it has read, makes every earlier one fail; only then it speaks of the
- * job.
+ * A write that the previous owner sent before it was disconnected may take
+ * effect later; readers elsewhere would see its results, while this VM answered
+ * that there are none. This VM's first write, on the version that it has read,
+ * makes every earlier write fail; only then it answers for the job.
  */
 static void
 end_catching_up(jj_inline_t *jobs, jj_inline_run_t *run, jj_actions_t *out)
 {
-	run->fences = false;
+	run->needs_fence = false;
 	run->state = JJ_RUN_RUNNING;
 	jj_actions_add_event(out, "job_caught_up",
 	    "job=%s items=%zu shown=%u version=%llu", run->id,
-	    run->job.item_count, run->shown,
+	    run->job.item_count, run->published,
 	    (unsigned long long)run->segment_version);
 	jj_inline_serve_readers(jobs, run, out);
 }
 
-/** What was appended for a write that did not stand comes off again. */
+/** Removes the results that were appended for a write that failed. */
 static void
-take_back(jj_inline_run_t *run)
+remove_unconfirmed(jj_inline_run_t *run)
 {
 	jj_inline_segment_t *segment = &run->segment;
 
-	while (run->writing > 0) {
+	while (run->unconfirmed > 0) {
 		jj_inline_result_t *result =
 		    &segment->results[--segment->count];
 
 		free(result->id);
 		jj_bytes_free(&result->text);
-		run->writing--;
+		run->unconfirmed--;
 	}
 	segment->sealed = false;
 	segment->ended = false;
 }
 
 static void
-show_written(jj_inline_t *jobs, jj_inline_run_t *run)
+publish_written(jj_inline_t *jobs, jj_inline_run_t *run)
 {
 	const jj_inline_segment_t *segment = &run->segment;
 	uint32_t i;
 
-	for (i = segment->count - run->writing; i < segment->count; i++) {
-		show(jobs, run, segment->results[i].id);
+	for (i = segment->count - run->unconfirmed; i < segment->count; i++) {
+		mark_published(jobs, run, segment->results[i].id);
 		jobs->counts.shown++;
 	}
-	run->writing = 0;
-	run->shown = segment->first + segment->count;
+	run->unconfirmed = 0;
+	run->published = segment->first + segment->count;
 }
 
 static void
-show_stored(jj_inline_t *jobs, jj_inline_run_t *run)
+publish_stored(jj_inline_t *jobs, jj_inline_run_t *run)
 {
 	uint32_t i;
 
 	for (i = 0; i < run->segment.count; i++)
-		show(jobs, run, run->segment.results[i].id);
-	run->writing = 0;
-	run->shown = run->segment.first + run->segment.count;
+		mark_published(jobs, run, run->segment.results[i].id);
+	run->unconfirmed = 0;
+	run->published = run->segment.first + run->segment.count;
 }
 
-/** An item has its result; a run of it that still goes on is for nothing. */
+/** Marks an item's result as published, and cancels a run of the item. */
 static void
-show(jj_inline_t *jobs, jj_inline_run_t *run, const char *id)
+mark_published(jj_inline_t *jobs, jj_inline_run_t *run, const char *id)
 {
 	size_t i;
 
@@ -287,7 +288,7 @@
 		return;
 	if (run->items[i].state == JJ_ITEM_BEGUN)
 		jobs->port.cancel_item(jobs->port.ctx, run->items[i].request);
-	run->items[i].state = JJ_ITEM_SHOWN;
+	run->items[i].state = JJ_ITEM_PUBLISHED;
 	jj_bytes_free(&run->items[i].text);
 }
 
@@ -298,25 +299,25 @@
 
 	jj_inline_segment_clear(&run->segment);
 	run->segment.total = total;
-	run->segment.first = run->shown;
+	run->segment.first = run->published;
 	run->segment_number++;
 	run->segment_version = 0;
 }
 
 /**
- * Guards against an ended job that runs again: its client sends it once more,
- * as it does when an answer was slow, and the open entry that knew of the end
- * is deleted. So the end stands with the results before the entry goes, where
- * each VM that adopts the job reads it.
+ * Its client may send an ended job once more, as it does when an answer was
+ * slow, and the open entry that recorded the end is deleted by then: the job
+ * would run again. So the end is stored with the results before the entry is
+ * deleted, where each VM that adopts the job reads it.
  */
 static bool
-wants_end(const jj_inline_run_t *run)
+needs_end(const jj_inline_run_t *run)
 {
 	return run->ended && !run->segment.ended;
 }
 
 static bool
-has_finished(const jj_inline_run_t *run)
+has_unpublished(const jj_inline_run_t *run)
 {
 	size_t i;
 
@@ -333,7 +334,7 @@
 
 	for (i = 0; i < run->job.item_count; i++)
 		if (run->items[i].state != JJ_ITEM_FINISHED &&
-		    run->items[i].state != JJ_ITEM_SHOWN)
+		    run->items[i].state != JJ_ITEM_PUBLISHED)
 			return false;
 	return true;
 }
--- a/src/core/inline_run.c
+++ b/src/core/inline_run.c
@@ -1,6 +1,6 @@
 /**
  * @file inline_run.c
- * @brief A job that this VM runs: its items, from the first to the last.
+ * @brief A job that this VM runs: runs its items and closes it.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -9,16 +9,16 @@
 #include "core/inline_state.h"
 
 /**
- * A submission that took no longer is held to be the only one, ms. Until an
- * end by another VM is durable that VM's own submission, its client's answer
- * and call, and three writes take place.
+ * A submission stored within this time is taken for the only one, ms. Before an
+ * end by another VM is durable, that VM's own submission, its client's answer
+ * and call, and three writes have to take place.
  */
 #define QUICK_SUBMIT_MS 100
-/** How often the rest of an item that a server failed doubles. */
-#define REST_DOUBLINGS_MOST 4
+/** How often the retry delay of an item that failed at a server doubles. */
+#define BACKOFF_DOUBLINGS_MAX 4
 
-static jj_ms_t rest_ms(const jj_inline_t *, uint32_t);
-static bool was_first(const jj_inline_op_t *, jj_ms_t);
+static jj_ms_t item_backoff_ms(const jj_inline_t *, uint32_t);
+static bool is_only_owner(const jj_inline_op_t *, jj_ms_t);
 static jj_inline_run_t *create_run(jj_inline_t *, const char *, uint64_t);
 static void begin_catching_up(jj_inline_t *, jj_inline_run_t *, jj_ms_t);
 static void
@@ -33,9 +33,9 @@
     const jj_platform_result_t *, jj_ms_t, jj_actions_t *);
 static void take_loaded(jj_inline_t *, jj_inline_run_t *,
     const jj_platform_result_t *, jj_ms_t, jj_actions_t *);
-static void take_absent(jj_inline_t *, jj_inline_run_t *, jj_ms_t);
+static void handle_missing_job(jj_inline_t *, jj_inline_run_t *, jj_ms_t);
 static void close_run(jj_inline_t *, jj_inline_run_t *, jj_ms_t);
-static bool is_all_shown(const jj_inline_run_t *);
+static bool is_all_published(const jj_inline_run_t *);
 static void
 set_due(jj_inline_t *, jj_inline_run_t *, const jj_route_t *, jj_ms_t);
 
@@ -68,7 +68,7 @@
 	run->tokens = entry->tokens;
 	run->total = entry->total;
 	run->state = JJ_RUN_LOADING;
-	jj_inline_want_call(&run->load.call, now);
+	jj_inline_schedule_call(&run->load.call, now);
 	return run;
 }
 
@@ -86,10 +86,10 @@
 	run->route = op->route;
 	run->due_ms = op->run_due_ms;
 	run->retention_ms = op->retention_ms;
-	if (was_first(op, now)) {
+	if (is_only_owner(op, now)) {
 		jj_inline_end_call(&run->write);
-		run->rereads = false;
-		run->fences = false;
+		run->reads_back = false;
+		run->needs_fence = false;
 		run->state = JJ_RUN_RUNNING;
 	}
 }
@@ -121,35 +121,35 @@
 }
 
 /**
- * Guards against a job that goes on after its end: while this VM was cut off
- * another one took the job over and closed it, at its end or its client's. The
- * takeover and the deletion come with one look at the list, so no other owner
- * is ever seen. Items of an ended job ran again, and readers of all VMs were
- * told that there is nothing where results had been read. Only a closed job's
- * entry is deleted, and its results are complete or say that it ended; so
- * nothing is begun or told before they are read.
+ * The entry of a running job is gone: while this VM was disconnected, another
+ * one took the job over and closed it, at its end or its client's. The takeover
+ * and the deletion arrive in one poll of the list, so no other owner was ever
+ * seen. Items of an ended job then ran again, and readers at all VMs got empty
+ * pages where results had been read. Only a closed job's entry is deleted, and
+ * its results are complete or record the end; so no item is started and nothing
+ * reported before they are read.
  */
 void
-jj_inline_note_unlisted(jj_inline_t *jobs, const char *id)
+jj_inline_note_missing_entry(jj_inline_t *jobs, const char *id)
 {
 	jj_inline_run_t *run = jj_inline_find_run(jobs, id);
 
 	if (run == NULL ||
 	    (run->state != JJ_RUN_RUNNING &&
-		!(run->state == JJ_RUN_CLOSING && run->leaves)))
+		!(run->state == JJ_RUN_CLOSING && run->handing_over)))
 		return;
-	run->unlisted = true;
+	run->entry_missing = true;
 	cancel_items(jobs, run);
 }
 
 void
-jj_inline_leave_run(jj_inline_t *jobs, jj_inline_run_t *run, jj_ms_t now)
+jj_inline_hand_over_run(jj_inline_t *jobs, jj_inline_run_t *run, jj_ms_t now)
 {
 	size_t i;
 
-	if (run->leaves || run->state == JJ_RUN_CLOSED)
+	if (run->handing_over || run->state == JJ_RUN_CLOSED)
 		return;
-	run->leaves = true;
+	run->handing_over = true;
 	cancel_items(jobs, run);
 	if (run->state == JJ_RUN_LOADING) {
 		jj_inline_end_call(&run->load.call);
@@ -184,7 +184,7 @@
 	size_t i;
 
 	for (i = 0; i < run->job.item_count; i++)
-		if (run->items[i].state != JJ_ITEM_SHOWN)
+		if (run->items[i].state != JJ_ITEM_PUBLISHED)
 			return false;
 	return true;
 }
@@ -201,13 +201,13 @@
 		jj_inline_step_publish(jobs, run, now, out);
 		break;
 	case JJ_RUN_RUNNING:
-		if (!run->ended && !run->unlisted)
+		if (!run->ended && !run->entry_missing)
 			step_items(jobs, run, now, out);
 		jj_inline_step_publish(jobs, run, now, out);
 		if (run->write.token != 0)
 			break;
 		if (jj_inline_run_is_complete(run) || run->segment.ended ||
-		    (run->leaves && !run->ended &&
+		    (run->handing_over && !run->ended &&
 			run->publish_ms == JJ_MS_NEVER))
 			begin_closing(run, now);
 		break;
@@ -254,8 +254,8 @@
 		return next;
 	for (i = 0; i < run->job.item_count; i++)
 		if (run->items[i].state == JJ_ITEM_IDLE &&
-		    run->items[i].rest_until_ms < next)
-			next = run->items[i].rest_until_ms;
+		    run->items[i].retry_at_ms < next)
+			next = run->items[i].retry_at_ms;
 	return next;
 }
 
@@ -286,19 +286,19 @@
 	attempts = route != NULL && route->attempts > 0 ? route->attempts : 1;
 	if (end == JJ_INLINE_FAILED && ++item->failures < attempts) {
 		item->state = JJ_ITEM_IDLE;
-		item->rest_until_ms = now + rest_ms(jobs, item->failures);
+		item->retry_at_ms = now + item_backoff_ms(jobs, item->failures);
 		return;
 	}
 	/*
-	 * Guards against a result that the store refuses each time, and with it
-	 * all that would be shown behind it. It is no failed run, so its item is
-	 * given up when it may be.
+	 * The store would refuse this result each time, and with it all results
+	 * behind it. The run did not fail, so the item is given up only at the
+	 * end of its retention.
 	 */
 	if (end == JJ_INLINE_DONE &&
 	    jj_inline_result_size(run->job.items[i].id, text) >
-		JJ_INLINE_SEGMENT_MOST) {
+		JJ_INLINE_SEGMENT_SIZE_MAX) {
 		item->state = JJ_ITEM_IDLE;
-		item->rest_until_ms = run->retention_ms;
+		item->retry_at_ms = run->retention_ms;
 		jj_actions_add_event(out, "item_result_too_large",
 		    "job=%s item=%s bytes=%zu", run->id, run->job.items[i].id,
 		    text->size);
@@ -315,7 +315,7 @@
 		    run->job.items[i].id,
 		    end == JJ_INLINE_REFUSED ? "refused" : "failed",
 		    item->failures);
-	jj_inline_want_publish(jobs, run, now);
+	jj_inline_schedule_publish(jobs, run, now);
 }
 
 const jj_inline_item_t *
@@ -340,28 +340,29 @@
 }
 
 static jj_ms_t
-rest_ms(const jj_inline_t *jobs, uint32_t failures)
+item_backoff_ms(const jj_inline_t *jobs, uint32_t failures)
 {
 	uint32_t doublings = failures - 1;
 
-	if (doublings > REST_DOUBLINGS_MOST)
-		doublings = REST_DOUBLINGS_MOST;
+	if (doublings > BACKOFF_DOUBLINGS_MAX)
+		doublings = BACKOFF_DOUBLINGS_MAX;
 	return jobs->settings.item_retry_ms << doublings;
 }
 
 /**
- * True when nobody else can have run the job: its entry is older than itself,
- * or both came at once. Guards against a job that was run and ended meanwhile:
- * another VM's entry stood first and is deleted by now, and this VM's, tried
- * again and again during an outage, was created at last. It would run the
- * ended job's items, as it knows nothing of the end; so it reads what stands.
+ * True when no other VM can have run the job: its entry is older than the job
+ * object, or both were created at about the same time. Otherwise the job may
+ * have been run and ended meanwhile: another VM's entry came first and is
+ * deleted by now, and this VM's, retried during an outage, was created at last.
+ * This VM knows nothing of the end and would run the items again; so it reads
+ * the stored results first.
  */
 static bool
-was_first(const jj_inline_op_t *op, jj_ms_t now)
+is_only_owner(const jj_inline_op_t *op, jj_ms_t now)
 {
 	return op->job_is_new &&
 	    (op->open_version < op->job_version ||
-		now - op->begun_ms <= QUICK_SUBMIT_MS);
+		now - op->started_ms <= QUICK_SUBMIT_MS);
 }
 
 static jj_inline_run_t *
@@ -373,7 +374,7 @@
 	(void)snprintf(run->load.id, sizeof(run->load.id), "%s", id);
 	run->open_version = open_version;
 	run->absent_ms = JJ_MS_NEVER;
-	run->routeless_ms = JJ_MS_NEVER;
+	run->no_route_ms = JJ_MS_NEVER;
 	run->publish_ms = JJ_MS_NEVER;
 	jj_inline_end_call(&run->load.call);
 	jj_inline_end_call(&run->write);
@@ -393,13 +394,13 @@
 	run->total = (uint32_t)run->job.item_count;
 	run->segment.total = run->total;
 	run->state = JJ_RUN_CATCHING_UP;
-	run->rereads = true;
-	run->fences = true;
-	jj_inline_want_call(&run->write, now);
+	run->reads_back = true;
+	run->needs_fence = true;
+	jj_inline_schedule_call(&run->write, now);
 	set_due(jobs, run, route, now);
 }
 
-/** By the wall clock, as the job may come from another VM. */
+/** Computed from the wall clock, as another VM may have accepted the job. */
 static void
 set_due(jj_inline_t *jobs, jj_inline_run_t *run, const jj_route_t *route,
     jj_ms_t now)
@@ -427,7 +428,7 @@
 	size_t i;
 
 	jj_inline_note_route(run, route, now, out);
-	/* A route that was dropped may come back: its items wait. */
+	/* A removed route may be configured again: its items wait. */
 	if (route == NULL && now < run->retention_ms)
 		return;
 	if (run->retention_ms == JJ_MS_NEVER)
@@ -446,7 +447,7 @@
 {
 	jj_inline_item_run_t *item = &run->items[i];
 
-	if (item->state != JJ_ITEM_IDLE || now < item->rest_until_ms ||
+	if (item->state != JJ_ITEM_IDLE || now < item->retry_at_ms ||
 	    jobs->leaving)
 		return;
 	item->state = JJ_ITEM_BEGUN;
@@ -459,13 +460,13 @@
 {
 	jj_inline_item_run_t *item = &run->items[i];
 
-	if (item->state == JJ_ITEM_FINISHED || item->state == JJ_ITEM_SHOWN)
+	if (item->state == JJ_ITEM_FINISHED || item->state == JJ_ITEM_PUBLISHED)
 		return;
 	if (item->state == JJ_ITEM_BEGUN)
 		jobs->port.cancel_item(jobs->port.ctx, item->request);
 	item->state = JJ_ITEM_FINISHED;
 	item->done = false;
-	jj_inline_want_publish(jobs, run, now);
+	jj_inline_schedule_publish(jobs, run, now);
 }
 
 static void
@@ -485,15 +486,17 @@
 begin_closing(jj_inline_run_t *run, jj_ms_t now)
 {
 	run->state = JJ_RUN_CLOSING;
-	jj_inline_want_call(&run->close, now);
+	jj_inline_schedule_call(&run->close, now);
 }
 
-/** An entry goes when the results, or the end, stand without it. */
+/**
+ * Deletes the entry only when all results, or the end, are stored without it.
+ */
 static void
 step_close(jj_inline_t *jobs, jj_inline_run_t *run, jj_actions_t *out)
 {
 	bool hands_over =
-	    run->leaves && !run->segment.ended && !is_all_shown(run);
+	    run->handing_over && !run->segment.ended && !is_all_published(run);
 	jj_platform_call_t *call = jj_inline_start_call(jobs, &run->close,
 	    hands_over ? JJ_PLATFORM_UPDATE : JJ_PLATFORM_DELETE, out);
 
@@ -506,7 +509,7 @@
 }
 
 static bool
-is_all_shown(const jj_inline_run_t *run)
+is_all_published(const jj_inline_run_t *run)
 {
 	return run->job.item_count > 0 && jj_inline_run_is_complete(run);
 }
@@ -523,7 +526,8 @@
 		jj_inline_end_call(&run->close);
 		jj_actions_add_event(out, "job_closed",
 		    "job=%s results=%u of=%zu ended=%d handed_over=%d", run->id,
-		    run->shown, run->job.item_count, run->ended, run->leaves);
+		    run->published, run->job.item_count, run->ended,
+		    run->handing_over);
 		close_run(jobs, run, now);
 		break;
 	case JJ_PLATFORM_CONFLICT:
@@ -531,10 +535,10 @@
 		    strcmp(now_stored.owner, jobs->settings.writer) == 0) {
 			run->open_version = result->version;
 			run->ended = run->ended || now_stored.ended;
-			jj_inline_want_call(&run->close, now);
+			jj_inline_schedule_call(&run->close, now);
 			break;
 		}
-		/* Another VM has it, and will close it. */
+		/* Another VM owns it, and will close it. */
 		jj_inline_end_call(&run->close);
 		close_run(jobs, run, now);
 		break;
@@ -544,7 +548,7 @@
 	}
 }
 
-/** The job's content goes at once; its last results stay for readers. */
+/** Frees the job's content at once; keeps its last results for readers. */
 static void
 close_run(jj_inline_t *jobs, jj_inline_run_t *run, jj_ms_t now)
 {
@@ -552,7 +556,7 @@
 
 	run->state = JJ_RUN_CLOSED;
 	run->closed_ms = now;
-	if (run->leaves) {
+	if (run->handing_over) {
 		jj_inline_drop_run(jobs, run);
 		return;
 	}
@@ -567,13 +571,13 @@
 take_loaded(jj_inline_t *jobs, jj_inline_run_t *run,
     const jj_platform_result_t *result, jj_ms_t now, jj_actions_t *out)
 {
-	jj_inline_loaded_t loaded =
+	jj_inline_load_result_t loaded =
 	    jj_inline_take_load(jobs, &run->load, result, now);
 
 	if (loaded == JJ_LOAD_MORE)
 		return;
 	if (loaded == JJ_LOAD_ABSENT) {
-		take_absent(jobs, run, now);
+		handle_missing_job(jobs, run, now);
 		return;
 	}
 	if (loaded == JJ_LOAD_DONE &&
@@ -590,11 +594,11 @@
 }
 
 /**
- * The entry of a submission that was given up on. The write of its job may
- * take effect seconds later, so it is only deleted after a while.
+ * The entry of a submission that failed has no job object. The write of the job
+ * may take effect seconds later, so the entry is only deleted after a while.
  */
 static void
-take_absent(jj_inline_t *jobs, jj_inline_run_t *run, jj_ms_t now)
+handle_missing_job(jj_inline_t *jobs, jj_inline_run_t *run, jj_ms_t now)
 {
 	if (run->absent_ms == JJ_MS_NEVER)
 		run->absent_ms = now;
--- a/src/core/inline_state.h
+++ b/src/core/inline_state.h
@@ -1,6 +1,6 @@
 /**
  * @file inline_state.h
- * @brief What the parts of the inline jobs' module share; private to them.
+ * @brief Shared declarations of the inline jobs' sources; private to them.
  */
 #ifndef JJ_CORE_INLINE_STATE_H
 #define JJ_CORE_INLINE_STATE_H
@@ -15,14 +15,14 @@
 #define JJ_INLINE_OPEN "batch-open/"
 #define JJ_INLINE_OUT "batch-out/"
 
-/** A call that is repeated until it is answered. */
+/** A platform call that is repeated until it succeeds. */
 typedef struct {
-	uint64_t token; /**< of the call under way, 0: none */
-	jj_ms_t due_ms; /**< next try; JJ_MS_NEVER: none wanted */
+	uint64_t token; /**< of the pending call, 0: none */
+	jj_ms_t due_ms; /**< next attempt; JJ_MS_NEVER: none scheduled */
 	uint32_t failures; /**< in a row */
 } jj_inline_call_t;
 
-/** An entry of the list of open jobs, as seen from here. */
+/** Local copy of an open entry (batch-open/ID). */
 typedef struct jj_open_entry {
 	TAILQ_ENTRY(jj_open_entry) link;
 	char id[JJ_INLINE_ID_MAX + 1];
@@ -32,31 +32,31 @@
 	uint32_t total;
 	bool ended;
 	uint64_t version;
-	bool listed; /**< seen by the list under way */
-	jj_ms_t lost_ms; /**< its owner is lost since; JJ_MS_NEVER: it lives */
-	uint64_t token; /**< of a takeover under way, 0: none */
-	jj_ms_t retry_ms; /**< no takeover before */
-	jj_ms_t ownerless_ms; /**< no live owner since; 0: it has one */
+	bool listed; /**< present in the listing being read */
+	jj_ms_t lost_ms; /**< owner lost since; JJ_MS_NEVER: owner alive */
+	uint64_t token; /**< of a pending takeover, 0: none */
+	jj_ms_t retry_ms; /**< no takeover attempt before this */
+	jj_ms_t ownerless_ms; /**< without a live owner since; 0: has one */
 	jj_ms_t reported_ms; /**< by the watchdog */
 } jj_open_entry_t;
 
 TAILQ_HEAD(jj_open_list, jj_open_entry);
 
-/** What another VM said last of a job that it runs. */
-typedef struct jj_heard_state {
-	TAILQ_ENTRY(jj_heard_state) link;
+/** Latest report of another VM about a job that it runs. */
+typedef struct jj_peer_state {
+	TAILQ_ENTRY(jj_peer_state) link;
 	jj_job_standing_t state;
-	jj_name_t vm; /**< that runs it */
-	jj_ms_t heard_ms;
-} jj_heard_state_t;
+	jj_name_t vm; /**< the VM that runs it */
+	jj_ms_t reported_at_ms;
+} jj_peer_state_t;
 
-TAILQ_HEAD(jj_heard_list, jj_heard_state);
+TAILQ_HEAD(jj_peer_state_list, jj_peer_state);
 
-/** Reads a job's text, also one that was cut into parts. */
+/** State of reading a job's text, which may be split into parts. */
 typedef struct {
 	char id[JJ_INLINE_ID_MAX + 1];
 	jj_inline_call_t call;
-	uint32_t parts; /**< 0: not cut, or not known yet */
+	uint32_t parts; /**< 0: not split, or not known yet */
 	uint32_t next_part;
 	jj_bytes_t text;
 } jj_inline_load_t;
@@ -66,31 +66,31 @@
 	JJ_LOAD_DONE,
 	JJ_LOAD_ABSENT,
 	JJ_LOAD_MALFORMED,
-} jj_inline_loaded_t;
+} jj_inline_load_result_t;
 
 typedef enum {
-	JJ_ITEM_IDLE, /**< not begun, or resting after a failure */
-	JJ_ITEM_BEGUN, /**< wants or has a server */
-	JJ_ITEM_FINISHED, /**< has a result that is not shown yet */
-	JJ_ITEM_SHOWN,
+	JJ_ITEM_IDLE, /**< not started, or waiting to be retried */
+	JJ_ITEM_BEGUN, /**< queued for a server, or at one */
+	JJ_ITEM_FINISHED, /**< has a result that is not published yet */
+	JJ_ITEM_PUBLISHED,
 } jj_inline_item_state_t;
 
-/** An item's run. */
+/** Execution state of one item. */
 typedef struct {
 	jj_inline_item_state_t state;
 	uint64_t request;
-	uint32_t failures; /**< runs that a server failed */
-	jj_ms_t rest_until_ms;
-	bool done; /**< of a finished one */
-	jj_bytes_t text; /**< of a finished one, until it is shown */
+	uint32_t failures; /**< runs that failed at a server */
+	jj_ms_t retry_at_ms;
+	bool done; /**< of a finished item: it succeeded */
+	jj_bytes_t text; /**< its output, until published */
 } jj_inline_item_run_t;
 
 typedef enum {
-	JJ_RUN_LOADING, /**< reads the job */
-	JJ_RUN_CATCHING_UP, /**< reads the results that are shown */
+	JJ_RUN_LOADING, /**< reads the job from the platform */
+	JJ_RUN_CATCHING_UP, /**< reads the published results */
 	JJ_RUN_RUNNING,
-	JJ_RUN_CLOSING, /**< deletes its open entry */
-	JJ_RUN_CLOSED, /**< kept for its readers */
+	JJ_RUN_CLOSING, /**< deletes or hands over its open entry */
+	JJ_RUN_CLOSED, /**< kept in memory for its readers */
 } jj_inline_run_state_t;
 
 /** A job that this VM runs. */
@@ -98,36 +98,46 @@
 	TAILQ_ENTRY(jj_inline_run_job) link;
 	jj_inline_run_state_t state;
 	char id[JJ_INLINE_ID_MAX + 1];
-	uint64_t open_version; /**< of its open entry */
-	jj_name_t route; /**< by which its tokens are counted */
+	uint64_t open_version; /**< version of its open entry */
+	jj_name_t route; /**< its tokens count for this route */
 	uint64_t tokens; /**< of all its items */
 	uint32_t total; /**< items */
 	jj_inline_load_t load;
 	jj_inline_job_t job;
-	jj_inline_item_run_t *items; /**< one for each of the job's */
-	bool ended; /**< its client ended it */
-	bool leaves; /**< handed over: its entry is given up, not deleted */
+	jj_inline_item_run_t *items; /**< one per item of the job */
+	bool ended; /**< ended by its client */
+	/** Planned stop: its entry is released for other VMs, not deleted. */
+	bool handing_over;
 	jj_ms_t due_ms;
 	jj_ms_t retention_ms;
-	jj_ms_t absent_ms; /**< the job was not there since */
-	jj_ms_t routeless_ms; /**< no route for it since; JJ_MS_NEVER: one */
+	/** Job object missing since; JJ_MS_NEVER: not missing. */
+	jj_ms_t absent_ms;
+	/** Without a route since; JJ_MS_NEVER: has one. */
+	jj_ms_t no_route_ms;
 	jj_ms_t closed_ms;
 
-	jj_inline_segment_t segment; /**< newest one, with all its results */
+	jj_inline_segment_t segment; /**< last segment, with all its results */
 	uint32_t segment_number;
-	uint64_t segment_version; /**< 0: not created yet */
-	uint32_t shown; /**< results shown in all segments */
-	uint32_t writing; /**< results at the end of `segment` under way */
-	jj_inline_call_t write; /**< or the read that catches up */
-	jj_ms_t write_ms; /**< when the write under way began */
-	bool rereads; /**< the write's outcome is read back */
-	bool fences; /**< writes of the VM before may still take effect */
-	bool unlisted; /**< its entry is gone: what is stored is read first */
-	jj_ms_t publish_ms; /**< not before; JJ_MS_NEVER: nothing to show */
+	uint64_t segment_version; /**< 0: does not exist yet */
+	uint32_t published; /**< number of published results, all segments */
+	/** Results at the end of `segment` whose write is not confirmed yet. */
+	uint32_t unconfirmed;
+	jj_inline_call_t write; /**< pending write or read of the segment */
+	jj_ms_t write_sent_ms; /**< when the pending write was sent */
+	/** The segment has to be read before the next write. */
+	bool reads_back;
+	/** Delayed writes of the previous owner may still take effect. */
+	bool needs_fence;
+	/**
+	 * Its open entry is gone: read the stored results before anything else.
+	 */
+	bool entry_missing;
+	/** Next write of results; JJ_MS_NEVER: none needed. */
+	jj_ms_t publish_ms;
 	jj_inline_call_t close;
 
-	uint64_t step_mark; /**< of the watchdog: changes with each step */
-	jj_ms_t step_ms; /**< last step seen; 0: not looked at yet */
+	uint64_t progress_mark; /**< hash of the progress, for the watchdog */
+	jj_ms_t progress_ms; /**< last progress seen; 0: not checked yet */
 	jj_ms_t reported_ms; /**< by the watchdog */
 } jj_inline_run_t;
 
@@ -140,15 +150,15 @@
 	JJ_OP_END,
 } jj_inline_op_kind_t;
 
-/** An operation of a caller. */
+/** A pending operation of a caller. */
 typedef struct jj_inline_op {
 	TAILQ_ENTRY(jj_inline_op) link;
 	jj_inline_op_kind_t kind;
 	uint64_t operation;
 	char id[JJ_INLINE_ID_MAX + 1];
-	jj_ms_t begun_ms;
-	jj_ms_t until_ms; /**< answered by then in any case */
-	bool forgotten; /**< nobody waits for the answer */
+	jj_ms_t started_ms;
+	jj_ms_t until_ms; /**< deadline for the answer */
+	bool abandoned; /**< its caller disconnected */
 
 	/* of a submission */
 	jj_inline_job_t job;
@@ -162,20 +172,22 @@
 	jj_inline_call_t create_open;
 	bool job_stored;
 	bool job_is_new;
-	uint64_t job_version; /**< of a new one */
+	uint64_t job_version; /**< set when job_is_new */
 	bool open_stored;
-	bool open_is_mine;
+	bool owns_entry;
 	uint64_t open_version;
-	bool may_be_stored; /**< some write of the job may have an effect */
+	/** A write of the job may have taken effect or may do so later. */
+	bool may_be_stored;
 
 	/* of a read */
 	uint32_t after;
 	uint32_t segment_number;
 	uint32_t total; /**< 0: not known yet */
-	jj_ms_t look_ms; /**< the platform is asked then */
+	jj_ms_t query_ms; /**< time to query the platform */
 	jj_inline_call_t get;
-	jj_ms_t peer_ms; /**< the VM that runs it is asked until; 0: not yet */
-	bool asks_job; /**< no result there: does the job exist? */
+	/** Wait for the peer's answer until then; 0: not queried yet. */
+	jj_ms_t peer_ms;
+	bool checks_job; /**< no result found: check that the job exists */
 
 	/* of an item's body */
 	char *item;
@@ -183,7 +195,7 @@
 
 	/* of an end */
 	jj_inline_call_t end;
-	bool reads_open; /**< the entry is read first */
+	bool reads_entry; /**< read the entry before updating it */
 	char owner[JJ_NAME_MAX + 20];
 } jj_inline_op_t;
 
@@ -192,136 +204,141 @@
 struct jj_inline {
 	jj_inline_settings_t settings;
 	jj_inline_port_t port;
-	jj_mirror_t mirror; /**< of the open entries */
+	jj_mirror_t mirror; /**< copy of all open entries */
 	struct jj_open_list open;
-	struct jj_heard_list heard;
+	struct jj_peer_state_list peer_states;
 	struct jj_inline_run_list runs;
 	struct jj_inline_op_list ops;
 	uint64_t last_token;
 	bool leaving;
-	jj_ms_t now_ms; /**< of the step under way, or the last one */
-	/** Some VM was not heard then: see inline_sure.c. */
-	jj_ms_t doubt_ms;
-	jj_ms_t strict_ms; /**< another VM wrote to a job of ours then */
-	jj_ms_t verified_ms; /**< the list was looked at after this */
+	jj_ms_t now_ms; /**< time of the current step, or the last one */
+	/** Heartbeats of some VM were missing then: see inline_sure.c. */
+	jj_ms_t heartbeat_missing_ms;
+	/** Another VM wrote to a job of this VM then. */
+	jj_ms_t foreign_write_ms;
+	jj_ms_t checked_ms; /**< the list was checked as of this time */
 	jj_inline_call_t check;
-	jj_ms_t check_ms; /**< when it began */
-	jj_ms_t next_look_ms; /**< at entries whose owner may be lost */
-	uint32_t unreadable; /**< entries that came, not logged yet */
-	char unreadable_id[JJ_INLINE_ID_MAX + 1]; /**< the last of them */
+	jj_ms_t check_ms; /**< when the check was sent */
+	jj_ms_t next_scan_ms; /**< next scan for entries whose owner is lost */
+	uint32_t unreadable; /**< malformed entries received, not logged yet */
+	char unreadable_id[JJ_INLINE_ID_MAX + 1]; /**< id of the last one */
 	jj_inline_counts_t counts;
 	jj_inline_health_t health;
-	jj_ms_t next_report_ms; /**< of the watchdog */
+	jj_ms_t next_report_ms; /**< next run of the watchdog */
 };
 
 /* Calls (inline_calls.c). */
-/** A call's action with a new token; JJ_OWNER_INLINE. */
+/** Adds the action of a call, with a new token. */
 jj_platform_call_t *jj_inline_start_call(jj_inline_t *jobs,
     jj_inline_call_t *call, jj_platform_op_t op, jj_actions_t *out);
-/** The call is wanted now. */
-void jj_inline_want_call(jj_inline_call_t *call, jj_ms_t now);
-/** It failed: wanted again after a while, longer each time. */
+/** Schedules the call for now. */
+void jj_inline_schedule_call(jj_inline_call_t *call, jj_ms_t now);
+/** The call failed: schedules a retry with exponential backoff. */
 void jj_inline_back_off(
     const jj_inline_t *jobs, jj_inline_call_t *call, jj_ms_t now);
-/** It was answered. */
+/** The call succeeded, or is not needed any more. */
 void jj_inline_end_call(jj_inline_call_t *call);
 bool jj_inline_is_due(const jj_inline_call_t *call, jj_ms_t now);
-/** Starts the load's next read when it is due. */
+/** Sends the next read of the load when it is due. */
 void jj_inline_step_load(
     jj_inline_t *jobs, jj_inline_load_t *load, jj_ms_t now, jj_actions_t *out);
-jj_inline_loaded_t jj_inline_take_load(jj_inline_t *jobs,
+jj_inline_load_result_t jj_inline_take_load(jj_inline_t *jobs,
     jj_inline_load_t *load, const jj_platform_result_t *result, jj_ms_t now);
 void jj_inline_clear_load(jj_inline_load_t *load);
-/** True when a failed call surely had no effect. */
-bool jj_inline_surely_failed(jj_platform_outcome_t outcome);
+/** True when a failed call is known to have had no effect. */
+bool jj_inline_had_no_effect(jj_platform_outcome_t outcome);
 
 /* Reads at the VM that runs the job (inline_peer.c). */
-/** Asks it once for the results; true while its answer may come. */
-bool jj_inline_ask_peer(
+/** Queries that VM once for the results; true while its answer is awaited. */
+bool jj_inline_query_peer(
     jj_inline_t *jobs, jj_inline_op_t *op, jj_ms_t now, jj_actions_t *out);
 
 /* Callers' operations (inline_op.c). */
 /**
- * The page from @p after on of a run that may speak and has shown that
- * position; empty when it may not, or when the page is larger than @p most.
+ * The page from @p after on of a run whose state is known to be current; empty
+ * when it is not, when that position is not published, or when the page is
+ * larger than @p max_bytes.
  */
 jj_bytes_t jj_inline_page_of_run(const jj_inline_t *jobs,
-    const jj_inline_run_t *run, uint32_t after, size_t most);
+    const jj_inline_run_t *run, uint32_t after, size_t max_bytes);
 
 /* Open entries (inline_open.c). */
 void jj_inline_init_open(jj_inline_t *jobs);
 void jj_inline_clear_open(jj_inline_t *jobs);
 jj_open_entry_t *jj_inline_find_open(const jj_inline_t *jobs, const char *id);
-/** Text of an open entry. */
+/** Encodes an open entry. */
 jj_bytes_t jj_inline_encode_open(const char *owner, const jj_name_t *route,
     uint64_t tokens, uint32_t total, bool ended);
-/** Fills in all but id, version and links; false when malformed. */
+/**
+ * Decodes an open entry, all but id, version and links; false when malformed.
+ */
 bool jj_inline_decode_open(jj_open_entry_t *entry, const jj_bytes_t *value);
-/** Tokens that wait on a route, as far as this VM knows. */
+/** Tokens waiting on a route, as far as this VM knows. */
 uint64_t jj_inline_open_tokens(
     const jj_inline_t *jobs, const jj_name_t *route, jj_ms_t now);
 
-/* What VMs tell each other of their jobs (inline_heard.c). */
+/* Reports of other VMs about their jobs (inline_heard.c). */
 uint64_t jj_inline_hash(const char *text);
-/** What was heard of a job lately, or NULL. */
-const jj_heard_state_t *
-jj_inline_find_heard(const jj_inline_t *jobs, const char *id, jj_ms_t now);
-/** Tokens of the route's jobs at other VMs, heard of lately. */
-uint64_t jj_inline_heard_tokens(
+/** The last report about a job, or NULL when there is none or it is too old. */
+const jj_peer_state_t *
+jj_inline_find_peer_state(const jj_inline_t *jobs, const char *id, jj_ms_t now);
+/** Tokens of the route's jobs at other VMs, by reports that are still valid. */
+uint64_t jj_inline_peer_tokens(
     const jj_inline_t *jobs, const jj_name_t *route, jj_ms_t now);
-void jj_inline_clear_heard(jj_inline_t *jobs);
+void jj_inline_clear_peer_states(jj_inline_t *jobs);
 
-/** Takes lost jobs over when it is time. */
-void jj_inline_look_at_open(jj_inline_t *jobs, jj_ms_t now, jj_actions_t *out);
+/** Scans the open entries, and takes over those of lost VMs. */
+void jj_inline_scan_open(jj_inline_t *jobs, jj_ms_t now, jj_actions_t *out);
 bool jj_inline_take_takeover(jj_inline_t *jobs,
     const jj_platform_result_t *result, jj_ms_t now, jj_actions_t *out);
 
-/* Whether jobs are still this VM's (inline_sure.c). */
-/** True when what this VM knows of its jobs can be told. */
-bool jj_inline_is_sure(const jj_inline_t *jobs);
-/** The same for one job: what is shown of it is known here. */
-bool jj_inline_can_speak(const jj_inline_t *jobs, const jj_inline_run_t *run);
-/** Another VM has written to a job that this one runs. */
-void jj_inline_doubt(jj_inline_t *jobs);
+/* Verifies that jobs are still this VM's (inline_sure.c). */
+/** True when a recent check showed that this VM still owns its jobs. */
+bool jj_inline_is_verified(const jj_inline_t *jobs);
+/** True when this VM knows all published results of the job. */
+bool jj_inline_is_current(const jj_inline_t *jobs, const jj_inline_run_t *run);
+/** Another VM wrote to a job of this one: requires a new check. */
+void jj_inline_require_check(jj_inline_t *jobs);
 void jj_inline_step_check(jj_inline_t *jobs, jj_ms_t now, jj_actions_t *out);
 bool jj_inline_take_check(jj_inline_t *jobs, const jj_platform_result_t *result,
     jj_ms_t now, jj_actions_t *out);
 
-/* What makes no progress (inline_watchdog.c). */
+/* Jobs without progress (inline_watchdog.c). */
 void jj_inline_step_watchdog(jj_inline_t *jobs, jj_ms_t now, jj_actions_t *out);
-/** Logs the begin and the end of a wait for a route. */
+/** Logs when a job starts and stops waiting for a route. */
 void jj_inline_note_route(jj_inline_run_t *run, const jj_route_t *route,
     jj_ms_t now, jj_actions_t *out);
 
 /* Runs (inline_run.c, inline_publish.c). */
 jj_inline_run_t *jj_inline_find_run(const jj_inline_t *jobs, const char *id);
-/** A job is this VM's to run; its content is read first. */
+/** Starts to run a job that this VM owns; reads its content first. */
 jj_inline_run_t *
 jj_inline_adopt(jj_inline_t *jobs, const jj_open_entry_t *entry, jj_ms_t now);
-/** The same with the content at hand, which is taken over. */
+/** The same with the content at hand, which is moved out of @p op. */
 void jj_inline_adopt_job(jj_inline_t *jobs, jj_inline_op_t *op, jj_ms_t now);
-/** Another VM has the job now. */
+/** Drops a job that another VM owns now. */
 void jj_inline_drop_run(jj_inline_t *jobs, jj_inline_run_t *run);
 void jj_inline_end_run(jj_inline_run_t *run, jj_inline_t *jobs, jj_ms_t now);
-/** The list does not have a job's entry any more. */
-void jj_inline_note_unlisted(jj_inline_t *jobs, const char *id);
-/** Planned stop: what is finished is shown, the rest another VM runs. */
-void jj_inline_leave_run(jj_inline_t *jobs, jj_inline_run_t *run, jj_ms_t now);
+/** A job's open entry was deleted. */
+void jj_inline_note_missing_entry(jj_inline_t *jobs, const char *id);
+/** Planned stop: publishes finished results and releases the job. */
+void
+jj_inline_hand_over_run(jj_inline_t *jobs, jj_inline_run_t *run, jj_ms_t now);
 void jj_inline_step_run(
     jj_inline_t *jobs, jj_inline_run_t *run, jj_ms_t now, jj_actions_t *out);
 bool jj_inline_take_run_result(jj_inline_t *jobs, jj_inline_run_t *run,
     const jj_platform_result_t *result, jj_ms_t now, jj_actions_t *out);
 jj_ms_t jj_inline_run_next(const jj_inline_run_t *run);
-/** Results are gathered for a while before they are shown. */
-void
-jj_inline_want_publish(jj_inline_t *jobs, jj_inline_run_t *run, jj_ms_t now);
+/** Schedules a write of results, which collects them for publish_ms. */
+void jj_inline_schedule_publish(
+    jj_inline_t *jobs, jj_inline_run_t *run, jj_ms_t now);
 void jj_inline_step_publish(
     jj_inline_t *jobs, jj_inline_run_t *run, jj_ms_t now, jj_actions_t *out);
 bool jj_inline_take_publish(jj_inline_t *jobs, jj_inline_run_t *run,
     const jj_platform_result_t *result, jj_ms_t now, jj_actions_t *out);
-/** Tokens of the items that are not finished. */
+/** Tokens of the unfinished items. */
 uint64_t jj_inline_run_tokens(const jj_inline_run_t *run);
-/** True when no item is left to run or to show. */
+/** True when the results of all items are published. */
 bool jj_inline_run_is_complete(const jj_inline_run_t *run);
 
 /* Operations (inline_op.c, inline_submit.c). */
@@ -340,7 +357,7 @@
     jj_inline_t *jobs, jj_inline_op_t *op, jj_ms_t now, jj_actions_t *out);
 bool jj_inline_take_submit(jj_inline_t *jobs, jj_inline_op_t *op,
     const jj_platform_result_t *result, jj_ms_t now, jj_actions_t *out);
-/** Reads that wait for results of this run are looked at. */
+/** Answers reads that wait for results of this run. */
 void jj_inline_serve_readers(
     jj_inline_t *jobs, const jj_inline_run_t *run, jj_actions_t *out);
 
--- a/src/core/inline_submit.c
+++ b/src/core/inline_submit.c
@@ -1,11 +1,12 @@
 /**
  * @file inline_submit.c
- * @brief A job is taken: stored, with an entry that says who runs it.
+ * @brief Accepts a job: stores it, with an entry that names the VM that runs
+ * it.
  *
- * Both writes are creates under the job's id, so that a resend, here or at
- * any VM, meets the first one's objects and gets the same answer. They go out
- * side by side; the order in which they take effect does not matter, as
- * neither an entry without a job nor a job without an entry runs anything.
+ * Both writes are creates under the job's id, so that a resend, to this or any
+ * VM, finds the first one's objects and gets the same answer. They are sent in
+ * parallel; the order in which they take effect does not matter, as neither an
+ * entry without a job nor a job without an entry runs anything.
  */
 #include <stdio.h>
 #include <string.h>
@@ -23,7 +24,7 @@
 static void take_check(jj_inline_t *, jj_inline_op_t *,
     const jj_platform_result_t *, jj_ms_t, jj_actions_t *);
 static void accept(jj_inline_t *, jj_inline_op_t *, jj_ms_t, jj_actions_t *);
-static void give_up(jj_inline_t *, jj_inline_op_t *, jj_actions_t *);
+static void fail_submit(jj_inline_t *, jj_inline_op_t *, jj_actions_t *);
 
 void
 jj_inline_submit(jj_inline_t *jobs, uint64_t operation, jj_inline_job_t *job,
@@ -32,7 +33,7 @@
 	const jj_inline_run_t *run = jj_inline_find_run(jobs, job->id);
 	bool is_known =
 	    run != NULL || jj_inline_find_open(jobs, job->id) != NULL;
-	bool has_room = is_known || fits(jobs, route, job->tokens, now);
+	bool has_capacity = is_known || fits(jobs, route, job->tokens, now);
 	jj_inline_op_t *op = jj_inline_add_op(jobs, JJ_OP_SUBMIT, operation,
 	    job->id, now + jobs->settings.submit_ms, now);
 
@@ -49,14 +50,14 @@
 		jj_inline_answer(jobs, op, 503, NULL, out);
 		return;
 	}
-	if (!has_room) {
-		op->asks_job = true;
-		jj_inline_want_call(&op->get, now);
+	if (!has_capacity) {
+		op->checks_job = true;
+		jj_inline_schedule_call(&op->get, now);
 	} else {
 		op->text = jj_inline_job_encode(&op->job);
 		op->parts = jj_inline_count_parts(op->text.size);
-		jj_inline_want_call(&op->create_job, now);
-		jj_inline_want_call(&op->create_open, now);
+		jj_inline_schedule_call(&op->create_job, now);
+		jj_inline_schedule_call(&op->create_open, now);
 	}
 	jj_inline_step_submit(jobs, op, now, out);
 }
@@ -66,7 +67,7 @@
     jj_inline_t *jobs, jj_inline_op_t *op, jj_ms_t now, jj_actions_t *out)
 {
 	if (now >= op->until_ms) {
-		give_up(jobs, op, out);
+		fail_submit(jobs, op, out);
 		return;
 	}
 	if (jj_inline_is_due(&op->get, now))
@@ -122,7 +123,7 @@
 	(void)snprintf(
 	    call->key, sizeof(call->key), "%s%s", JJ_INLINE_JOBS, op->id);
 	call->value = op->parts > 0
-	    ? jj_inline_encode_cut(op->parts)
+	    ? jj_inline_encode_split(op->parts)
 	    : jj_bytes_copy(op->text.data, op->text.size);
 }
 
@@ -148,7 +149,7 @@
 	    call->key, sizeof(call->key), "%s%s", JJ_INLINE_JOBS, op->id);
 }
 
-/** A part that stands already is of an earlier try: the same text. */
+/** A part that exists already is of an earlier attempt, with the same text. */
 static void
 take_job(jj_inline_t *jobs, jj_inline_op_t *op,
     const jj_platform_result_t *result, jj_ms_t now)
@@ -157,14 +158,14 @@
 
 	if (result->outcome != JJ_PLATFORM_OK &&
 	    result->outcome != JJ_PLATFORM_CONFLICT) {
-		if (!is_part && !jj_inline_surely_failed(result->outcome))
+		if (!is_part && !jj_inline_had_no_effect(result->outcome))
 			op->may_be_stored = true;
 		jj_inline_back_off(jobs, &op->create_job, now);
 		return;
 	}
 	if (is_part) {
 		op->parts_done++;
-		jj_inline_want_call(&op->create_job, now);
+		jj_inline_schedule_call(&op->create_job, now);
 		return;
 	}
 	jj_inline_end_call(&op->create_job);
@@ -188,8 +189,11 @@
 	jj_inline_end_call(&op->create_open);
 	op->open_stored = true;
 	op->open_version = result->version;
-	/* A conflict with an entry of this process: an answer was lost. */
-	op->open_is_mine = result->outcome == JJ_PLATFORM_OK ||
+	/*
+	 * A conflict with this process's own entry: the answer to its create
+	 * was lost.
+	 */
+	op->owns_entry = result->outcome == JJ_PLATFORM_OK ||
 	    (jj_inline_decode_open(&stored, &result->value) &&
 		strcmp(stored.owner, jobs->settings.writer) == 0);
 }
@@ -221,18 +225,18 @@
 	jj_actions_add_event(out, "job_accepted",
 	    "job=%s items=%zu tokens=%llu new=%d runs_here=%d took_ms=%lld",
 	    op->id, op->job.item_count, (unsigned long long)op->job.tokens,
-	    op->job_is_new, op->open_is_mine, (long long)(now - op->begun_ms));
-	if (op->open_is_mine)
+	    op->job_is_new, op->owns_entry, (long long)(now - op->started_ms));
+	if (op->owns_entry)
 		jj_inline_adopt_job(jobs, op, now);
 	jj_inline_answer(jobs, op, 202, NULL, out);
 }
 
 /**
- * "Not run" is said only when no write of the job itself can have an effect,
- * now or later; without its job an entry runs nothing.
+ * Answers 503 (not run) only when no write of the job object can take effect,
+ * now or later; an entry without a job runs nothing.
  */
 static void
-give_up(jj_inline_t *jobs, jj_inline_op_t *op, jj_actions_t *out)
+fail_submit(jj_inline_t *jobs, jj_inline_op_t *op, jj_actions_t *out)
 {
 	bool unknown = op->may_be_stored || op->create_job.token != 0;
 
--- a/src/core/inline_watchdog.c
+++ b/src/core/inline_watchdog.c
@@ -1,46 +1,55 @@
 /**
  * @file inline_watchdog.c
- * @brief Which open jobs make no progress, and what each waits for.
+ * @brief Reports open jobs that make no progress, and what each waits for.
  *
- * Reports only: nothing that decides reads what is kept here. At most two log
- * lines a second, one of a job of this VM and one of an entry without a live
- * owner, the one reported longest ago; gauges count all of them.
+ * Diagnostics only: no decision depends on the state kept here. Logs at most
+ * two lines a second, one for a job of this VM and one for an entry without a
+ * live owner, each time the one that was reported longest ago. The gauges count
+ * all of them.
  */
 #include <stdio.h>
 #include <string.h>
 
 #include "core/inline_state.h"
 
-/** Between looks, ms; each logs one line of each kind at most. */
+/**
+ * Interval of the watchdog, ms; each run logs at most one line of each kind.
+ */
 #define REPORT_MS 1000
-/** A job without a step, or an entry without an owner, for so long, ms. */
+/**
+ * A job without progress, or an entry without a live owner, is reported after
+ * this, ms.
+ */
 #define STALL_MS 3000
 
 /** Items of a run by state. */
 typedef struct {
 	uint32_t idle;
-	uint32_t resting; /**< of the idle ones */
-	uint32_t begun;
-	uint32_t sent; /**< of the begun ones */
+	/** Of the idle ones, those that wait for a retry. */
+	uint32_t backing_off;
+	uint32_t started;
+	uint32_t sent; /**< of the started ones, those at a server */
 	uint32_t finished;
-	uint64_t mark; /**< changes with each step of an item */
-} tally_t;
+	uint64_t mark; /**< hash that changes with each step of an item */
+} item_counts_t;
 
 static void watch_runs(jj_inline_t *, jj_ms_t, jj_actions_t *);
 static void watch_entries(jj_inline_t *, jj_ms_t, jj_actions_t *);
-static bool has_stalled(jj_inline_t *, jj_inline_run_t *, jj_ms_t, tally_t *);
+static bool
+has_stalled(jj_inline_t *, jj_inline_run_t *, jj_ms_t, item_counts_t *);
 static bool is_ownerless(jj_inline_t *, jj_open_entry_t *, jj_ms_t);
-static void
-count_items(const jj_inline_t *, const jj_inline_run_t *, jj_ms_t, tally_t *);
-static void add_mark(tally_t *, uint64_t);
+static void count_items(
+    const jj_inline_t *, const jj_inline_run_t *, jj_ms_t, item_counts_t *);
+static void hash_progress(item_counts_t *, uint64_t);
 static void
 report_run(jj_inline_t *, jj_inline_run_t *, jj_ms_t, jj_actions_t *);
 static void
 report_entry(jj_inline_t *, jj_open_entry_t *, jj_ms_t, jj_actions_t *);
 static const char *
-name_wait(const jj_inline_t *, const jj_inline_run_t *, const tally_t *);
+name_wait(const jj_inline_t *, const jj_inline_run_t *, const item_counts_t *);
 static const char *name_write(const jj_inline_t *, const jj_inline_run_t *);
-static const char *name_block(jj_inline_t *, const jj_open_entry_t *, jj_ms_t);
+static const char *
+name_obstacle(jj_inline_t *, const jj_open_entry_t *, jj_ms_t);
 
 void
 jj_inline_step_watchdog(jj_inline_t *jobs, jj_ms_t now, jj_actions_t *out)
@@ -62,7 +71,7 @@
 jj_inline_note_route(jj_inline_run_t *run, const jj_route_t *route, jj_ms_t now,
     jj_actions_t *out)
 {
-	bool waits = run->routeless_ms != JJ_MS_NEVER;
+	bool waits = run->no_route_ms != JJ_MS_NEVER;
 
 	if (waits == (route == NULL))
 		return;
@@ -70,8 +79,8 @@
 	    route == NULL ? "job_lacks_route" : "job_found_route",
 	    "job=%s host=%s path=%.60s items=%zu shown=%u waited_ms=%lld",
 	    run->id, run->job.host, run->job.path, run->job.item_count,
-	    run->shown, waits ? (long long)(now - run->routeless_ms) : 0LL);
-	run->routeless_ms = route == NULL ? now : JJ_MS_NEVER;
+	    run->published, waits ? (long long)(now - run->no_route_ms) : 0LL);
+	run->no_route_ms = route == NULL ? now : JJ_MS_NEVER;
 }
 
 static void
@@ -79,12 +88,12 @@
 {
 	jj_inline_run_t *chosen = NULL;
 	jj_inline_run_t *run;
-	tally_t tally;
+	item_counts_t counts;
 
 	jobs->health.stalled = 0;
 	TAILQ_FOREACH(run, &jobs->runs, link)
 	{
-		if (!has_stalled(jobs, run, now, &tally))
+		if (!has_stalled(jobs, run, now, &counts))
 			continue;
 		jobs->health.stalled++;
 		if (chosen == NULL || run->reported_ms < chosen->reported_ms)
@@ -115,15 +124,15 @@
 
 static bool
 has_stalled(
-    jj_inline_t *jobs, jj_inline_run_t *run, jj_ms_t now, tally_t *tally)
+    jj_inline_t *jobs, jj_inline_run_t *run, jj_ms_t now, item_counts_t *counts)
 {
-	count_items(jobs, run, now, tally);
-	if (run->step_ms == 0 || tally->mark != run->step_mark ||
-	    tally->sent > 0 || run->state == JJ_RUN_CLOSED) {
-		run->step_mark = tally->mark;
-		run->step_ms = now;
+	count_items(jobs, run, now, counts);
+	if (run->progress_ms == 0 || counts->mark != run->progress_mark ||
+	    counts->sent > 0 || run->state == JJ_RUN_CLOSED) {
+		run->progress_mark = counts->mark;
+		run->progress_ms = now;
 	}
-	return now - run->step_ms >= STALL_MS;
+	return now - run->progress_ms >= STALL_MS;
 }
 
 static bool
@@ -142,38 +151,38 @@
 
 static void
 count_items(const jj_inline_t *jobs, const jj_inline_run_t *run, jj_ms_t now,
-    tally_t *tally)
+    item_counts_t *counts)
 {
 	uint32_t attempts;
 	size_t i;
 
-	memset(tally, 0, sizeof(*tally));
-	add_mark(tally, (uint64_t)run->state);
-	add_mark(tally, run->load.next_part);
-	add_mark(tally, run->shown);
+	memset(counts, 0, sizeof(*counts));
+	hash_progress(counts, (uint64_t)run->state);
+	hash_progress(counts, run->load.next_part);
+	hash_progress(counts, run->published);
 	for (i = 0; run->items != NULL && i < run->job.item_count; i++) {
 		const jj_inline_item_run_t *item = &run->items[i];
 
-		add_mark(tally, (uint64_t)item->state);
-		add_mark(tally, item->failures);
-		tally->idle += item->state == JJ_ITEM_IDLE;
-		tally->resting +=
-		    item->state == JJ_ITEM_IDLE && now < item->rest_until_ms;
-		tally->finished += item->state == JJ_ITEM_FINISHED;
+		hash_progress(counts, (uint64_t)item->state);
+		hash_progress(counts, item->failures);
+		counts->idle += item->state == JJ_ITEM_IDLE;
+		counts->backing_off +=
+		    item->state == JJ_ITEM_IDLE && now < item->retry_at_ms;
+		counts->finished += item->state == JJ_ITEM_FINISHED;
 		if (item->state != JJ_ITEM_BEGUN)
 			continue;
-		tally->begun++;
+		counts->started++;
 		attempts = 0;
-		tally->sent += jobs->port.is_item_sent(
+		counts->sent += jobs->port.is_item_sent(
 		    jobs->port.ctx, item->request, &attempts);
-		add_mark(tally, attempts);
+		hash_progress(counts, attempts);
 	}
 }
 
 static void
-add_mark(tally_t *tally, uint64_t value)
+hash_progress(item_counts_t *counts, uint64_t value)
 {
-	tally->mark = jj_hash_bytes(&value, sizeof(value), tally->mark);
+	counts->mark = jj_hash_bytes(&value, sizeof(value), counts->mark);
 }
 
 static void
@@ -182,18 +191,18 @@
 {
 	static const char *const states[] = {
 	    "loading", "catching_up", "running", "closing", "closed"};
-	tally_t tally;
+	item_counts_t counts;
 
-	count_items(jobs, run, now, &tally);
+	count_items(jobs, run, now, &counts);
 	run->reported_ms = now;
 	jj_actions_add_event(out, "job_stalled",
 	    "job=%s state=%s awaits=%s idle=%u begun=%u finished=%u shown=%u "
 	    "ended=%d leaves=%d failures=%u for_ms=%lld stalled=%u",
-	    run->id, states[run->state], name_wait(jobs, run, &tally),
-	    tally.idle, tally.begun, tally.finished, run->shown, run->ended,
-	    run->leaves,
+	    run->id, states[run->state], name_wait(jobs, run, &counts),
+	    counts.idle, counts.started, counts.finished, run->published,
+	    run->ended, run->handing_over,
 	    run->load.call.failures + run->write.failures + run->close.failures,
-	    (long long)(now - run->step_ms), jobs->health.stalled);
+	    (long long)(now - run->progress_ms), jobs->health.stalled);
 }
 
 static void
@@ -204,52 +213,56 @@
 	jj_actions_add_event(out, "job_ownerless",
 	    "job=%s owner=%s blocked_by=%s lost_for_ms=%lld for_ms=%lld "
 	    "ownerless=%u",
-	    entry->id, entry->owner, name_block(jobs, entry, now),
+	    entry->id, entry->owner, name_obstacle(jobs, entry, now),
 	    entry->lost_ms == JJ_MS_NEVER ? -1LL
 					  : (long long)(now - entry->lost_ms),
 	    (long long)(now - entry->ownerless_ms), jobs->health.ownerless);
 }
 
-/** What the run's next step waits for. */
+/** Names what the run's next step waits for. */
 static const char *
-name_wait(
-    const jj_inline_t *jobs, const jj_inline_run_t *run, const tally_t *tally)
+name_wait(const jj_inline_t *jobs, const jj_inline_run_t *run,
+    const item_counts_t *counts)
 {
 	switch (run->state) {
 	case JJ_RUN_LOADING:
 		return run->absent_ms != JJ_MS_NEVER ? "absent_job"
 						     : "job_read";
 	case JJ_RUN_CLOSING:
-		return run->leaves ? "entry_release" : "entry_delete";
+		return run->handing_over ? "entry_release" : "entry_delete";
 	case JJ_RUN_CATCHING_UP:
 		return name_write(jobs, run);
 	default:
 		break;
 	}
-	if (run->write.token != 0 || run->write.failures > 0 || run->rereads ||
-	    run->unlisted || run->ended || tally->finished > 0)
+	if (run->write.token != 0 || run->write.failures > 0 ||
+	    run->reads_back || run->entry_missing || run->ended ||
+	    counts->finished > 0)
 		return name_write(jobs, run);
 	if (jobs->port.find_route(
 		jobs->port.ctx, run->job.host, run->job.path) == NULL)
 		return "route";
-	if (tally->begun > 0)
+	if (counts->started > 0)
 		return "server";
-	return tally->resting > 0 ? "rest" : "begin";
+	return counts->backing_off > 0 ? "rest" : "begin";
 }
 
 static const char *
 name_write(const jj_inline_t *jobs, const jj_inline_run_t *run)
 {
-	if (run->rereads || run->unlisted)
+	if (run->reads_back || run->entry_missing)
 		return "results_read";
-	if (run->write.token == 0 && !jj_inline_is_sure(jobs))
+	if (run->write.token == 0 && !jj_inline_is_verified(jobs))
 		return "certainty";
-	return run->fences ? "fence_write" : "results_write";
+	return run->needs_fence ? "fence_write" : "results_write";
 }
 
-/** Why this VM does not take the entry over; in the order of look_at(). */
+/**
+ * Names why this VM does not take the entry over; checks in the order of
+ * check_entry().
+ */
 static const char *
-name_block(jj_inline_t *jobs, const jj_open_entry_t *entry, jj_ms_t now)
+name_obstacle(jj_inline_t *jobs, const jj_open_entry_t *entry, jj_ms_t now)
 {
 	if (jobs->leaving)
 		return "leaving";
