--- a/src/core/lease.c
+++ b/src/core/lease.c
@@ -2,9 +2,10 @@
  * @file lease.c
  * @brief Acquiring, renewing, observing and releasing a lease.
  *
- * One call at a time: a look (get) or a write. A write without an answer is
- * looked up by its operation and, while its condition still stands, repeated
- * unchanged, so that no two writes of ours can both take effect.
+ * One call at a time: a read or a write. After a write without an answer the
+ * object is read: the operation in it tells whether the write took effect.
+ * While the write's condition still holds, it is repeated unchanged, so that no
+ * two writes of this VM can both take effect.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -15,16 +16,16 @@
 #include "core/lease.h"
 #include "core/operation.h"
 
-/** Renewals per lease, so that two may be lost. */
+/** Renewals per lease duration, so that two may be lost. */
 #define RENEWALS_PER_LEASE 3
-/** Looks of an observer per lease. */
-#define LOOKS_PER_LEASE 2
-/** Wait after a call that failed. */
+/** Reads by an observer per lease duration. */
+#define READS_PER_LEASE 2
+/** Delay after a failed call. */
 #define RETRY_MS 200
 
 typedef enum {
 	CALL_NONE,
-	CALL_LOOK,
+	CALL_READ,
 	CALL_WRITE,
 } call_t;
 
@@ -35,7 +36,7 @@
 	WRITE_RELEASE,
 } write_kind_t;
 
-/** The object as last seen. */
+/** The object as last read. */
 typedef struct {
 	bool known;
 	bool exists;
@@ -46,17 +47,17 @@
 	uint64_t beat;
 	jj_ms_t lease_ms;
 	bool released;
-} seen_t;
+} observed_t;
 
-/** A write from its first send until its end is known. */
+/** A write, from its first send until its outcome is known. */
 typedef struct {
 	write_kind_t kind;
 	char operation[JJ_OPERATION_TEXT];
 	bool create;
-	uint64_t version; /**< its condition */
+	uint64_t version; /**< version that the object must have */
 	uint64_t fence;
 	uint64_t beat;
-	jj_ms_t sent_ms; /**< of the first send */
+	jj_ms_t sent_ms; /**< time of the first send */
 } write_t;
 
 struct jj_lease {
@@ -66,12 +67,12 @@
 	uint64_t token;
 	call_t call;
 	jj_ms_t called_ms;
-	jj_ms_t due_ms; /**< next look or repeat */
-	seen_t seen;
+	jj_ms_t due_ms; /**< next read, or repeat of a write */
+	observed_t observed;
 	write_t write;
 	jj_ms_t held_until_ms; /**< 0: not held */
-	jj_ms_t release_until_ms; /**< a release is of use until then */
-	jj_ms_t safe_ms; /**< end of the grace */
+	jj_ms_t release_until_ms; /**< a release is useful until then */
+	jj_ms_t unfenced_safe_ms; /**< end of grace_ms */
 	uint64_t fence;
 };
 
@@ -81,13 +82,13 @@
 static bool is_own(const jj_lease_t *);
 static bool is_free(const jj_lease_t *, jj_ms_t);
 static jj_ms_t lapse_ms(const jj_lease_t *);
-static void look(jj_lease_t *, jj_ms_t, jj_actions_t *);
+static void read_object(jj_lease_t *, jj_ms_t, jj_actions_t *);
 static void begin_write(jj_lease_t *, write_kind_t, jj_ms_t, jj_actions_t *);
 static void send_write(jj_lease_t *, jj_ms_t, jj_actions_t *);
 static jj_bytes_t encode(const jj_lease_t *);
 static void
-take_look(jj_lease_t *, const jj_platform_result_t *, jj_ms_t, jj_actions_t *);
-static void see(jj_lease_t *, const jj_platform_result_t *, jj_ms_t);
+take_read(jj_lease_t *, const jj_platform_result_t *, jj_ms_t, jj_actions_t *);
+static void observe(jj_lease_t *, const jj_platform_result_t *, jj_ms_t);
 static void confirm_write(jj_lease_t *, uint64_t, jj_ms_t, jj_actions_t *);
 static void note_loss(jj_lease_t *, jj_actions_t *);
 
@@ -114,9 +115,9 @@
 		return;
 	lease->wanted = wanted;
 	lease->due_ms = now;
-	/* Looked at long ago: the version may have changed since. */
+	/* The last read is long ago: the version may have changed since. */
 	if (wanted && lease->held_until_ms == 0)
-		lease->seen.known = false;
+		lease->observed.known = false;
 	step(lease, now, out);
 }
 
@@ -126,18 +127,20 @@
 	if (lease->call != CALL_NONE || !lease->wanted ||
 	    jj_lease_is_held(lease, now))
 		return;
-	look(lease, now, out);
+	read_object(lease, now, out);
 }
 
 void
 jj_lease_tick(jj_lease_t *lease, jj_ms_t now, jj_actions_t *out)
 {
-	/* A call without a result for a whole lease is given up; its result
-	 * is then ignored by its token. */
+	/*
+	 * A call without a result for a whole lease duration is abandoned; its
+	 * late result is ignored by its token.
+	 */
 	if (lease->call != CALL_NONE &&
 	    now - lease->called_ms >= lease->settings.lease_ms) {
 		lease->call = CALL_NONE;
-		lease->seen.known = false;
+		lease->observed.known = false;
 		lease->due_ms = now;
 	}
 	step(lease, now, out);
@@ -166,25 +169,27 @@
 	lease->due_ms = now;
 	switch (result->outcome) {
 	case JJ_PLATFORM_OK:
-		if (call == CALL_LOOK)
-			take_look(lease, result, now, out);
+		if (call == CALL_READ)
+			take_read(lease, result, now, out);
 		else
 			confirm_write(lease, result->version, now, out);
 		break;
 	case JJ_PLATFORM_ABSENT:
-		if (call == CALL_LOOK)
-			take_look(lease, result, now, out);
+		if (call == CALL_READ)
+			take_read(lease, result, now, out);
 		else
-			lease->seen.known = false;
+			lease->observed.known = false;
 		break;
 	case JJ_PLATFORM_CONFLICT:
-		lease->seen.known = false;
+		lease->observed.known = false;
 		break;
 	default:
-		/* Unknown: look, as a write may have taken effect. Refused:
-		 * surely not done, so a new write counts from its own send. */
+		/*
+		 * Unknown: read, as a write may have taken effect. Refused: it
+		 * had no effect, so a new write counts from its own send.
+		 */
 		if (result->outcome == JJ_PLATFORM_UNKNOWN)
-			lease->seen.known = false;
+			lease->observed.known = false;
 		else
 			lease->write.kind = WRITE_NONE;
 		lease->due_ms = now +
@@ -198,19 +203,24 @@
 bool
 jj_lease_is_held(const jj_lease_t *lease, jj_ms_t now)
 {
-	/* A holder that was frozen past its lease still believes in it while
-	 * another has taken over; both would give orders. The end was fixed
-	 * on the own clock from before the confirmed write was sent, so it
-	 * comes before any observer's, and the time is asked at each act. */
+	/*
+	 * A holder that was paused past its lease would still believe that it
+	 * holds it while another VM has taken over, and both would send orders.
+	 * So the end of the lease is fixed on this VM's clock, from before the
+	 * confirmed write was sent, which is earlier than any observer's; and
+	 * the time is checked at each use.
+	 */
 	return lease->wanted && now < lease->held_until_ms;
 }
 
 bool
 jj_lease_is_safe_unfenced(const jj_lease_t *lease, jj_ms_t now)
 {
-	/* Servers that ignore fencing numbers would apply an order of the
-	 * old holder that is still under way after one of ours. */
-	return jj_lease_is_held(lease, now) && now >= lease->safe_ms;
+	/*
+	 * A server that ignores fencing numbers would apply a late order of the
+	 * old holder after one of the new holder.
+	 */
+	return jj_lease_is_held(lease, now) && now >= lease->unfenced_safe_ms;
 }
 
 uint64_t
@@ -224,26 +234,26 @@
 {
 	if (lease->call != CALL_NONE || now < lease->due_ms)
 		return;
-	/* Lapsed without being wanted: observers see it lapse as well. */
+	/* Lapsed and not wanted: no release needed, observers see it lapse. */
 	if (!lease->wanted && now >= lease->held_until_ms &&
 	    now >= lease->release_until_ms) {
 		lease->write.kind = WRITE_NONE;
 		lease->held_until_ms = 0;
 		return;
 	}
-	if (!lease->seen.known)
-		look(lease, now, out);
+	if (!lease->observed.known)
+		read_object(lease, now, out);
 	else if (lease->write.kind != WRITE_NONE)
 		send_write(lease, now, out);
 	else
 		decide_write(lease, now, out);
 }
 
-/* The object is known and no write is open. */
+/* Called when the object was read and no write is pending. */
 static void
 decide_write(jj_lease_t *lease, jj_ms_t now, jj_actions_t *out)
 {
-	if (!lease->wanted && is_own(lease) && !lease->seen.released)
+	if (!lease->wanted && is_own(lease) && !lease->observed.released)
 		begin_release(lease, now, out);
 	else if (!lease->wanted)
 		lease->release_until_ms = 0;
@@ -252,11 +262,13 @@
 	else if (is_free(lease, now))
 		begin_write(lease, WRITE_ACQUIRE, now, out);
 	else
-		look(lease, now, out);
+		read_object(lease, now, out);
 }
 
-/* From the moment the release is sent the lease may be another's, also when
- * it is wanted again before the answer. */
+/*
+ * The lease counts as lost from the moment the release is sent, even if it is
+ * wanted again before the answer: another VM may have it.
+ */
 static void
 begin_release(jj_lease_t *lease, jj_ms_t now, jj_actions_t *out)
 {
@@ -269,37 +281,38 @@
 static bool
 is_own(const jj_lease_t *lease)
 {
-	return lease->seen.exists &&
-	    strcmp(lease->seen.holder, lease->settings.writer) == 0;
+	return lease->observed.exists &&
+	    strcmp(lease->observed.holder, lease->settings.writer) == 0;
 }
 
 static bool
 is_free(const jj_lease_t *lease, jj_ms_t now)
 {
-	if (!lease->seen.exists || lease->seen.released || is_own(lease))
+	if (!lease->observed.exists || lease->observed.released ||
+	    is_own(lease))
 		return true;
-	return now - lease->seen.since_ms >= lapse_ms(lease);
+	return now - lease->observed.since_ms >= lapse_ms(lease);
 }
 
-/* How long an unchanged version is somebody else's lease. */
+/* How long an unchanged version counts as another VM's lease. */
 static jj_ms_t
 lapse_ms(const jj_lease_t *lease)
 {
 	jj_ms_t lasts = lease->settings.lease_ms;
 
-	if (lease->seen.lease_ms > lasts)
-		lasts = lease->seen.lease_ms;
+	if (lease->observed.lease_ms > lasts)
+		lasts = lease->observed.lease_ms;
 	return lasts + lease->settings.margin_ms;
 }
 
 static void
-look(jj_lease_t *lease, jj_ms_t now, jj_actions_t *out)
+read_object(jj_lease_t *lease, jj_ms_t now, jj_actions_t *out)
 {
 	jj_platform_call_t *call = jj_actions_add_platform(
 	    out, JJ_OWNER_LEASE, JJ_PLATFORM_GET, ++lease->token);
 
 	memcpy(call->key, lease->settings.key, sizeof(call->key));
-	lease->call = CALL_LOOK;
+	lease->call = CALL_READ;
 	lease->called_ms = now;
 }
 
@@ -311,14 +324,14 @@
 
 	write->kind = kind;
 	jj_operations_next_text(&lease->operations, write->operation);
-	write->create = !lease->seen.exists;
-	write->version = lease->seen.version;
-	write->fence = lease->seen.fence;
+	write->create = !lease->observed.exists;
+	write->version = lease->observed.version;
+	write->fence = lease->observed.fence;
 	if (write->fence < lease->fence)
 		write->fence = lease->fence;
 	if (kind == WRITE_ACQUIRE)
 		write->fence++;
-	write->beat = lease->seen.beat + 1;
+	write->beat = lease->observed.beat + 1;
 	write->sent_ms = now;
 	send_write(lease, now, out);
 }
@@ -357,84 +370,89 @@
 }
 
 static void
-take_look(jj_lease_t *lease, const jj_platform_result_t *result, jj_ms_t now,
+take_read(jj_lease_t *lease, const jj_platform_result_t *result, jj_ms_t now,
     jj_actions_t *out)
 {
 	write_t *write = &lease->write;
 	bool found = result->outcome == JJ_PLATFORM_OK;
 
-	/* The answer to a write was lost after it took effect: our own
-	 * success would look like another's, and the lease would stand
-	 * unused. The operation in the object is that of the open write. */
+	/*
+	 * The answer to a write that took effect was lost: the operation in the
+	 * object is that of the pending write. Without this check the VM's own
+	 * success would look like another's, and the lease would stay unused.
+	 */
 	if (found && write->kind != WRITE_NONE &&
 	    jj_operation_is_own(
 		&result->value, lease->settings.writer, write->operation)) {
 		confirm_write(lease, result->version, now, out);
 		return;
 	}
-	see(lease, result, now);
-	/* Its condition can never hold again, so it is surely not done. */
+	observe(lease, result, now);
+	/*
+	 * Its condition can never hold again, so the write can't take effect.
+	 */
 	if (found ? write->create || result->version != write->version
 		  : !write->create)
 		write->kind = WRITE_NONE;
-	if (!is_own(lease) || lease->seen.released)
+	if (!is_own(lease) || lease->observed.released)
 		note_loss(lease, out);
 	if (!jj_lease_is_held(lease, now) && !is_free(lease, now))
 		lease->due_ms =
-		    now + lease->settings.lease_ms / LOOKS_PER_LEASE;
+		    now + lease->settings.lease_ms / READS_PER_LEASE;
 }
 
 static void
-see(jj_lease_t *lease, const jj_platform_result_t *result, jj_ms_t now)
+observe(jj_lease_t *lease, const jj_platform_result_t *result, jj_ms_t now)
 {
-	seen_t *seen = &lease->seen;
+	observed_t *observed = &lease->observed;
 	json_t *json;
 	const char *holder;
 
-	/* since_ms survives a look that shows the same version. */
+	/* since_ms is kept when a read shows the same version. */
 	if (result->outcome != JJ_PLATFORM_OK) {
-		memset(seen, 0, sizeof(*seen));
-		seen->known = true;
+		memset(observed, 0, sizeof(*observed));
+		observed->known = true;
 		return;
 	}
-	if (!seen->exists || seen->version != result->version)
-		seen->since_ms = now;
-	seen->known = true;
-	seen->exists = true;
-	seen->version = result->version;
+	if (!observed->exists || observed->version != result->version)
+		observed->since_ms = now;
+	observed->known = true;
+	observed->exists = true;
+	observed->version = result->version;
 	json = json_loadb(result->value.data, result->value.size, 0, NULL);
 	holder = json_string_value(json_object_get(json, "holder"));
-	(void)snprintf(seen->holder, sizeof(seen->holder), "%s",
+	(void)snprintf(observed->holder, sizeof(observed->holder), "%s",
 	    holder != NULL ? holder : "");
-	seen->fence =
+	observed->fence =
 	    (uint64_t)json_integer_value(json_object_get(json, "fence"));
-	seen->beat =
+	observed->beat =
 	    (uint64_t)json_integer_value(json_object_get(json, "beat"));
-	seen->lease_ms = json_integer_value(json_object_get(json, "lease_ms"));
-	seen->released = json_is_true(json_object_get(json, "released"));
+	observed->lease_ms =
+	    json_integer_value(json_object_get(json, "lease_ms"));
+	observed->released = json_is_true(json_object_get(json, "released"));
 	json_decref(json);
 }
 
-/* The open write took effect as this version. */
+/* The pending write took effect as this version. */
 static void
 confirm_write(
     jj_lease_t *lease, uint64_t version, jj_ms_t now, jj_actions_t *out)
 {
 	write_t *write = &lease->write;
-	seen_t *seen = &lease->seen;
+	observed_t *observed = &lease->observed;
 	bool first = write->fence == 1;
-	bool mine = is_own(lease) && seen->fence == lease->fence;
-
-	seen->known = true;
-	seen->exists = true;
-	seen->version = version;
-	seen->since_ms = now;
-	(void)snprintf(
-	    seen->holder, sizeof(seen->holder), "%s", lease->settings.writer);
-	seen->fence = write->fence;
-	seen->beat = write->beat;
-	seen->lease_ms = lease->settings.lease_ms;
-	seen->released = write->kind == WRITE_RELEASE;
+	bool was_own = is_own(lease) && observed->fence == lease->fence;
+
+	observed->known = true;
+	observed->exists = true;
+	observed->version = version;
+	observed->since_ms = now;
+	(void)snprintf(observed->holder, sizeof(observed->holder), "%s",
+	    lease->settings.writer);
+	observed->fence = write->fence;
+	observed->beat = write->beat;
+	observed->lease_ms = lease->settings.lease_ms;
+	observed->released = write->kind == WRITE_RELEASE;
 	if (write->kind == WRITE_RELEASE) {
 		lease->release_until_ms = 0;
 	} else {
@@ -445,8 +463,9 @@
 	}
 	if (write->kind == WRITE_ACQUIRE) {
 		lease->fence = write->fence;
-		if (!mine && !first)
-			lease->safe_ms = now + lease->settings.grace_ms;
+		if (!was_own && !first)
+			lease->unfenced_safe_ms =
+			    now + lease->settings.grace_ms;
 		jj_actions_add_event(out, "lease_acquired", "key=%s fence=%llu",
 		    lease->settings.key, (unsigned long long)lease->fence);
 	}
--- a/src/core/mirror.c
+++ b/src/core/mirror.c
@@ -1,13 +1,13 @@
 /**
  * @file mirror.c
- * @brief All objects below a prefix, listed once and then watched.
+ * @brief Local copy of all objects below a prefix: listed once, then watched.
  */
 #include <stdio.h>
 #include <string.h>
 
 #include "core/mirror.h"
 
-/** Bits of a call's token below the count of dropped calls. */
+/** Low bits of a call's token; the count of dropped calls is above them. */
 #define TOKEN_BITS 40
 
 static uint64_t current_token(const jj_mirror_t *);
@@ -16,10 +16,10 @@
 static void take_failure(jj_mirror_t *, jj_ms_t);
 static void take_success(jj_mirror_t *);
 static void start_list(jj_mirror_t *);
-static void drop_call(jj_mirror_t *);
+static void abandon_call(jj_mirror_t *);
 static void apply(jj_mirror_t *, uint64_t, const jj_platform_item_t *, size_t);
 static bool
-is_back(const jj_mirror_t *, const jj_platform_item_t *, size_t, size_t);
+is_recreated(const jj_mirror_t *, const jj_platform_item_t *, size_t, size_t);
 static jj_ms_t due_ms(const jj_mirror_t *);
 
 void
@@ -95,7 +95,10 @@
 		return;
 	}
 	mirror->relayed_ms = now;
-	/* The platform answers the relay; this VM may not ask it again. */
+	/*
+	 * The platform answers the relay, and this VM may have no call of its
+	 * own that would reset its failures.
+	 */
 	take_success(mirror);
 	apply(mirror, to, items, count);
 }
@@ -107,15 +110,18 @@
 	if (result->outcome != JJ_PLATFORM_OK &&
 	    result->outcome != JJ_PLATFORM_GAP)
 		return false;
-	/* The platform answers: what waited after a failure need not. */
+	/* The platform answers, so the backoff after a failure ends. */
 	if (mirror->failures > 0)
 		mirror->next_ms = now;
 	take_success(mirror);
-	/* A list under way, and the watch after it, bring all that it says. */
+	/*
+	 * The listing in progress and the watch after it will bring these
+	 * changes.
+	 */
 	if (!mirror->listed)
 		return false;
 	if (result->outcome == JJ_PLATFORM_GAP) {
-		drop_call(mirror);
+		abandon_call(mirror);
 		start_list(mirror);
 		mirror->next_ms = now;
 		return false;
@@ -176,8 +182,8 @@
 	if (mirror->after[0] == '\0')
 		port->begin_list(port->ctx);
 	/*
-	 * The watch goes on from the first page's revision: an object that
-	 * changes while later pages are read would else be missed.
+	 * The watch starts from the first page's revision, or it would miss
+	 * objects that change while later pages are read.
 	 */
 	if (mirror->after[0] == '\0')
 		mirror->since = result->version;
@@ -211,8 +217,8 @@
 }
 
 /**
- * What is behind what is known already came by the other way, a poll or a
- * relay, and may be older than what is known by now.
+ * Applies the changes up to revision @p to. Older changes are skipped: they
+ * came by the other way (own poll or relay) already, and may be outdated.
  */
 static void
 apply(jj_mirror_t *mirror, uint64_t to, const jj_platform_item_t *items,
@@ -225,7 +231,7 @@
 		return;
 	for (i = 0; i < count; i++) {
 		if (items[i].deleted) {
-			if (!is_back(mirror, items, count, i))
+			if (!is_recreated(mirror, items, count, i))
 				port->drop(port->ctx, items[i].key);
 		} else if (items[i].version > mirror->since)
 			port->take(port->ctx, &items[i]);
@@ -234,13 +240,14 @@
 }
 
 /**
- * Guards against a deletion that is told once more by the other way: what it
- * took away had come back behind it, is known already, and would be left out
- * of the same news. What a deletion says of its version is the object's, so
- * that does not show which of the two is older.
+ * True when the object of a deletion is recreated later in the same batch and
+ * is known already. Such a deletion must be skipped when it arrives a second
+ * time by the other way, as the recreation behind it would be skipped as known.
+ * A deletion carries the version of the object, not its own, so versions don't
+ * show which of the two is newer.
  */
 static bool
-is_back(const jj_mirror_t *mirror, const jj_platform_item_t *items,
+is_recreated(const jj_mirror_t *mirror, const jj_platform_item_t *items,
     size_t count, size_t deletion)
 {
 	size_t i;
@@ -252,23 +259,23 @@
 	return false;
 }
 
-/** A listener polls when its relay has been silent for too long. */
+/** A listener polls when it has received no relayed poll for too long. */
 static jj_ms_t
 due_ms(const jj_mirror_t *mirror)
 {
-	jj_ms_t silent;
+	jj_ms_t relay_due;
 
 	if (mirror->duty != JJ_MIRROR_LISTENS || !mirror->listed ||
 	    mirror->relayed_ms == JJ_MS_NEVER)
 		return mirror->next_ms;
-	silent = mirror->relayed_ms + mirror->settings.relay_fresh_ms;
-	return silent > mirror->next_ms ? silent : mirror->next_ms;
+	relay_due = mirror->relayed_ms + mirror->settings.relay_fresh_ms;
+	return relay_due > mirror->next_ms ? relay_due : mirror->next_ms;
 }
 
 /**
- * Guards against a storm of calls: a platform that refuses at once (down, over
- * its rate, or not understanding the call) would be asked again at once by
- * every VM. Each refused call has its price.
+ * Backs off, as a platform that fails at once (down, over its rate limit, or
+ * not understanding the call) would be called again at once by every VM, and
+ * each refused call has its price.
  */
 static void
 take_failure(jj_mirror_t *mirror, jj_ms_t now)
@@ -293,9 +300,9 @@
 	mirror->failures = 0;
 }
 
-/** A watch may wait for long; the next call need not wait for its end. */
+/** Abandons the pending call, as a watch may wait for long. */
 static void
-drop_call(jj_mirror_t *mirror)
+abandon_call(jj_mirror_t *mirror)
 {
 	if (!mirror->polling)
 		return;
--- a/src/core/mirror.h
+++ b/src/core/mirror.h
@@ -1,17 +1,18 @@
 /**
  * @file mirror.h
- * @brief All objects below a prefix, listed once and then watched.
+ * @brief Local copy of all objects below a prefix: listed once, then watched.
  *
- * Where a watch brings the objects themselves, one list and a chain of polls
- * keep a whole table up to date. After a poll that brought events the next
- * one waits for a while, so that events that come close together cost one
- * call. A lost history means a new list; a platform that does not answer, or
- * answers what is not understood, is asked again later and later.
+ * One listing and a chain of watch calls keep a whole table up to date. After a
+ * watch that returned events the next one is delayed, so that events close
+ * together cost one call. When the platform no longer has the history since the
+ * last call, the table is listed again. Calls that fail, or whose answer is
+ * malformed, are retried with exponential backoff.
  *
- * Where many VMs keep the same table, one of them polls and relays: its polls
- * are short, and each is told to the others, with events or without. One that
- * hears nothing for a while polls for itself, so that a relay that is cut off,
- * frozen or lost costs that while and no more.
+ * Where many VMs keep the same table, one of them, the relay, polls and
+ * forwards the result of each poll, with events or without; its polls are
+ * short. A listener that receives nothing for a while polls for itself, so a
+ * relay that is disconnected, paused or lost delays updates by no more than
+ * that.
  */
 #ifndef JJ_CORE_MIRROR_H
 #define JJ_CORE_MIRROR_H
@@ -19,79 +20,82 @@
 #include "core/action.h"
 
 typedef struct {
-	jj_owner_t owner; /**< its results come back under this owner */
-	uint64_t token; /**< and this token, in its low bits */
+	jj_owner_t owner; /**< owner of its platform calls */
+	uint64_t token; /**< token of its calls, in the low bits */
 	char prefix[64]; /**< ends with '/' */
-	jj_ms_t wait_ms; /**< how long the platform may hold a poll */
-	jj_ms_t spacing_ms; /**< from events to the next poll */
-	jj_ms_t backoff_ms; /**< after a first failure; doubles */
+	jj_ms_t wait_ms; /**< longest wait of one watch call */
+	jj_ms_t spacing_ms; /**< delay from events to the next call */
+	jj_ms_t backoff_ms; /**< delay after a first failure; doubles */
 	jj_ms_t backoff_most_ms;
-	jj_ms_t relay_wait_ms; /**< of a poll that is relayed to others */
-	jj_ms_t relay_fresh_ms; /**< without a word from a relay so long */
+	jj_ms_t relay_wait_ms; /**< like wait_ms, for a relay's calls */
+	/** A listener polls after this long without a relayed poll. */
+	jj_ms_t relay_fresh_ms;
 } jj_mirror_settings_t;
 
-/** What a mirror does for others, or lets them do. */
+/** Whether a mirror polls, and for whom. */
 typedef enum {
 	JJ_MIRROR_ALONE, /**< polls for itself */
-	JJ_MIRROR_RELAYS, /**< polls, and tells others each time */
-	JJ_MIRROR_LISTENS, /**< is told, and polls when it is not */
+	JJ_MIRROR_RELAYS, /**< polls, and forwards each result */
+	JJ_MIRROR_LISTENS, /**< receives relayed polls; polls when they stop */
 } jj_mirror_duty_t;
 
-/** Who keeps the table. */
+/** Callbacks of the owner of the table. */
 typedef struct {
 	void *ctx;
-	/** A whole list begins: what it does not bring is gone. */
+	/** A listing begins: objects that it does not contain were deleted. */
 	void (*begin_list)(void *ctx);
 	void (*take)(void *ctx, const jj_platform_item_t *item);
 	void (*drop)(void *ctx, const char *key);
 	void (*end_list)(void *ctx, jj_ms_t now);
-	/** A poll is done; of a relay only. */
+	/** A poll ended; called by a relay only. */
 	void (*relay)(void *ctx, uint64_t token, uint64_t from, uint64_t to,
 	    const jj_platform_item_t *items, size_t count);
 } jj_mirror_port_t;
 
-/** A mirror; plain, owned by whoever embeds it. */
+/** A mirror; a plain struct, embedded by its owner. */
 typedef struct {
 	jj_mirror_settings_t settings;
 	jj_mirror_port_t port;
 	bool active;
 	jj_mirror_duty_t duty;
-	jj_ms_t relayed_ms; /**< last word of a relay; JJ_MS_NEVER: none */
-	bool polling; /**< a call is under way */
-	uint32_t calls_dropped; /**< calls whose results do not count */
-	bool listed; /**< a list was read to its end; now it is watched */
+	jj_ms_t relayed_ms; /**< last relayed poll; JJ_MS_NEVER: none */
+	bool polling; /**< a call is pending */
+	/** Number of calls whose results are ignored. */
+	uint32_t calls_dropped;
+	bool listed; /**< the listing is complete; now watching */
 	uint64_t since;
-	char after[JJ_OBJECT_KEY_MAX + 1]; /**< where the list goes on */
-	jj_ms_t next_ms; /**< next call not before */
+	/** Last key of the listing so far. */
+	char after[JJ_OBJECT_KEY_MAX + 1];
+	jj_ms_t next_ms; /**< time of the next call */
 	uint32_t failures; /**< in a row */
 } jj_mirror_t;
 
 void jj_mirror_init(jj_mirror_t *mirror, const jj_mirror_settings_t *settings,
     const jj_mirror_port_t *port);
 void jj_mirror_set_active(jj_mirror_t *mirror, bool active, jj_ms_t now);
-/** Takes a duty over, or gives it up. */
+/** Changes the role of the mirror. */
 void
 jj_mirror_set_duty(jj_mirror_t *mirror, jj_mirror_duty_t duty, jj_ms_t now);
 /**
- * A relay's poll: what changed behind @p from up to @p to. Only what follows
- * on what is known here is taken; after a gap the mirror polls for itself.
+ * Handles a relayed poll: the changes after @p from up to @p to. Ignored unless
+ * it connects to what is known here; after a gap the mirror polls for itself.
  */
 void jj_mirror_take_relay(jj_mirror_t *mirror, uint64_t from, uint64_t to,
     const jj_platform_item_t *items, size_t count, jj_ms_t now);
 /**
- * The result of a poll beside the mirror's own: what it brings is taken as
- * far as it is new; a lost history means a new list.
- * @return true when the table is as new as the poll.
+ * Handles the result of a watch call that another module sent: applies what is
+ * new; a lost history leads to a new listing.
+ * @return true when the table is as recent as that call.
  */
 bool jj_mirror_take_check(
     jj_mirror_t *mirror, const jj_platform_result_t *result, jj_ms_t now);
 /** Starts a call when one is due. */
 void jj_mirror_tick(jj_mirror_t *mirror, jj_ms_t now, jj_actions_t *out);
 jj_ms_t jj_mirror_next(const jj_mirror_t *mirror);
-/** Takes the result of a call; false when it is no call of the mirror's. */
+/** Handles the result of a call; false when it is not a call of this mirror. */
 bool jj_mirror_take_result(
     jj_mirror_t *mirror, const jj_platform_result_t *result, jj_ms_t now);
-/** True when a list was read and the platform has answered since. */
+/** True when the listing is complete and the last call succeeded. */
 bool jj_mirror_is_current(const jj_mirror_t *mirror);
 
 #endif
--- a/src/core/orders.c
+++ b/src/core/orders.c
@@ -1,6 +1,6 @@
 /**
  * @file orders.c
- * @brief Paced, fenced and repeatable orders to model engines.
+ * @brief Orders to model engines: paced, fenced, and safe to repeat.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -12,16 +12,16 @@
 #include "core/operation.h"
 #include "core/orders.h"
 
-/** Longest wait between repeats of an unanswered order. */
-#define RETRY_MOST_MS 60000
-/** The next look at orders that wait for the lease or a free place. */
+/** Maximum delay between repeats of an unanswered order. */
+#define RETRY_MAX_MS 60000
+/** Interval of ticks while orders wait for the lease, or for others to end. */
 #define POLL_MS 100
 
 typedef struct {
 	char model[JJ_NAME_MAX + 1];
 	char version[JJ_NAME_MAX + 1];
 	char role[JJ_NAME_MAX + 1];
-} wish_t;
+} engine_state_t;
 
 typedef enum {
 	ORDER_NONE,
@@ -29,22 +29,23 @@
 	ORDER_ROLE,
 } order_kind_t;
 
-/** One server: what it shall have, what it has, the order in between. */
+/** One server: its desired state, its last known state, its open order. */
 typedef struct target {
 	TAILQ_ENTRY(target) link;
 	jj_name_t server;
-	wish_t wish;
-	jj_ms_t wished_ms; /**< since when the wish stands */
-	wish_t applied; /**< as far as this holder's orders tell */
-	wish_t ordered; /**< what the open order says */
+	engine_state_t desired;
+	jj_ms_t desired_ms; /**< when the desired state was set */
+	engine_state_t applied; /**< by the orders of this lease holder */
+	engine_state_t ordered; /**< state that the open order sets */
 	order_kind_t order;
 	uint64_t order_id;
 	uint64_t order_fence;
-	jj_ms_t due_ms; /**< the open order is sent (again) then */
-	jj_ms_t wait_ms; /**< before the next repeat */
-	bool running; /**< sent, and neither answered nor overdue */
-	uint64_t refused_fence; /**< this and older ones are refused */
-	bool refused; /**< permanently, until the wish changes */
+	jj_ms_t due_ms; /**< next send of the open order */
+	jj_ms_t wait_ms; /**< delay before the next repeat */
+	bool running; /**< awaits an answer */
+	/** This and older fencing numbers are refused. */
+	uint64_t refused_fence;
+	bool refused; /**< permanently, until the desired state changes */
 } target_t;
 
 TAILQ_HEAD(target_list, target);
@@ -55,17 +56,17 @@
 	const jj_fleet_t *fleet;
 	jj_operations_t operations;
 	struct target_list targets;
-	uint64_t fence; /**< the one `applied` was learned under */
-	jj_ms_t load_ms; /**< no load order before */
-	jj_ms_t limited_ms; /**< wait after the last 429 in a row */
+	uint64_t fence; /**< fencing number under which `applied` was learned */
+	jj_ms_t load_ms; /**< no load order before this */
+	jj_ms_t limited_ms; /**< current delay after consecutive 429s */
 	jj_ms_t next_ms;
 };
 
 static target_t *find_target(const jj_orders_t *, const jj_name_t *);
 static target_t *add_target(jj_orders_t *, const jj_name_t *);
-static void forget_applied(jj_orders_t *);
-static void expire(jj_orders_t *, jj_ms_t);
-static void open_order(jj_orders_t *, target_t *, jj_ms_t);
+static void reset_applied(jj_orders_t *);
+static void expire_orders(jj_orders_t *, jj_ms_t);
+static void decide_order(jj_orders_t *, target_t *, jj_ms_t);
 static bool may_send(const jj_orders_t *, const target_t *, jj_ms_t);
 static void send_order(jj_orders_t *, target_t *, jj_ms_t, jj_actions_t *);
 static jj_bytes_t encode(const target_t *);
@@ -108,18 +109,18 @@
     const char *version, const char *role, jj_ms_t now)
 {
 	target_t *target = find_target(orders, server);
-	wish_t wish;
+	engine_state_t desired;
 
-	memset(&wish, 0, sizeof(wish));
-	(void)snprintf(wish.model, sizeof(wish.model), "%s", model);
-	(void)snprintf(wish.version, sizeof(wish.version), "%s", version);
-	(void)snprintf(wish.role, sizeof(wish.role), "%s", role);
+	memset(&desired, 0, sizeof(desired));
+	(void)snprintf(desired.model, sizeof(desired.model), "%s", model);
+	(void)snprintf(desired.version, sizeof(desired.version), "%s", version);
+	(void)snprintf(desired.role, sizeof(desired.role), "%s", role);
 	if (target == NULL)
 		target = add_target(orders, server);
-	if (memcmp(&target->wish, &wish, sizeof(wish)) == 0)
+	if (memcmp(&target->desired, &desired, sizeof(desired)) == 0)
 		return;
-	target->wish = wish;
-	target->wished_ms = now;
+	target->desired = desired;
+	target->desired_ms = now;
 	target->refused = false;
 	plan_next(orders, now);
 }
@@ -164,23 +165,25 @@
 void
 jj_orders_tick(jj_orders_t *orders, jj_ms_t now, jj_actions_t *out)
 {
-	size_t places = 0;
+	size_t target_count = 0;
 	size_t i = 0;
 	target_t *target;
 
-	forget_applied(orders);
-	expire(orders, now);
+	reset_applied(orders);
+	expire_orders(orders, now);
 	TAILQ_FOREACH(target, &orders->targets, link)
 	{
-		places++;
+		target_count++;
 	}
-	/* A target that was served goes to the end, so that servers that
-	 * never answer cannot hold the few places for ever. */
-	for (; i < places; i++) {
+	/*
+	 * A target that was handled moves to the end, so that servers that
+	 * never answer cannot occupy the few concurrent orders for ever.
+	 */
+	for (; i < target_count; i++) {
 		target = TAILQ_FIRST(&orders->targets);
 		TAILQ_REMOVE(&orders->targets, target, link);
 		TAILQ_INSERT_TAIL(&orders->targets, target, link);
-		open_order(orders, target, now);
+		decide_order(orders, target, now);
 		if (!may_send(orders, target, now))
 			continue;
 		send_order(orders, target, now, out);
@@ -219,10 +222,12 @@
 	return target;
 }
 
-/* Another VM may have given orders between two leases of ours: what we knew
- * to be applied is no longer sure, and open orders carry an old number. */
+/*
+ * Another VM may have sent orders between two leases of this one: the applied
+ * state is not reliable any more, and open orders carry an old fencing number.
+ */
 static void
-forget_applied(jj_orders_t *orders)
+reset_applied(jj_orders_t *orders)
 {
 	target_t *target;
 
@@ -238,7 +243,7 @@
 }
 
 static void
-expire(jj_orders_t *orders, jj_ms_t now)
+expire_orders(jj_orders_t *orders, jj_ms_t now)
 {
 	target_t *target;
 
@@ -250,37 +255,41 @@
 }
 
 static void
-open_order(jj_orders_t *orders, target_t *target, jj_ms_t now)
+decide_order(jj_orders_t *orders, target_t *target, jj_ms_t now)
 {
-	const wish_t *wish = &target->wish;
-	const wish_t *applied = &target->applied;
-
-	/* A wish that changes back and forth would load and unload models
-	 * all the time; only one that stands is acted on. An open order is
-	 * brought to its end first: its effect is not known before. */
+	const engine_state_t *desired = &target->desired;
+	const engine_state_t *applied = &target->applied;
+
+	/*
+	 * A desired state that flaps would load and unload models all the time,
+	 * so only a stable one is acted on. An open order is completed first,
+	 * as its effect is not known before.
+	 */
 	if (target->order != ORDER_NONE || target->refused ||
-	    now - target->wished_ms < orders->settings.settle_ms)
+	    now - target->desired_ms < orders->settings.settle_ms)
 		return;
-	if (wish->model[0] != '\0' &&
-	    (strcmp(wish->model, applied->model) != 0 ||
-		strcmp(wish->version, applied->version) != 0))
+	if (desired->model[0] != '\0' &&
+	    (strcmp(desired->model, applied->model) != 0 ||
+		strcmp(desired->version, applied->version) != 0))
 		target->order = ORDER_LOAD;
-	else if (wish->role[0] != '\0' &&
-	    strcmp(wish->role, applied->role) != 0)
+	else if (desired->role[0] != '\0' &&
+	    strcmp(desired->role, applied->role) != 0)
 		target->order = ORDER_ROLE;
 	else
 		return;
-	target->ordered = *wish;
+	target->ordered = *desired;
 	target->order_id = jj_operations_next(&orders->operations);
 	target->order_fence = jj_lease_fence(orders->lease);
 	target->due_ms = now;
 	target->wait_ms = orders->settings.retry_ms;
 }
 
-/* Two VMs may both believe they direct a server: one was frozen past its
- * lease. The lease is asked right before each order. A server that checks
- * fencing numbers refuses the older one; for one that does not, we wait
- * until no order of the former holder can still be under way. */
+/*
+ * Two VMs may both believe that they hold the lease: one was paused past its
+ * end. So the lease is checked right before each order. A server that checks
+ * fencing numbers refuses the older holder; for one that does not, this VM
+ * waits until no order of the former holder can still arrive.
+ */
 static bool
 may_send(const jj_orders_t *orders, const target_t *target, jj_ms_t now)
 {
@@ -298,8 +307,11 @@
 	if (!server->checks_fence &&
 	    !jj_lease_is_safe_unfenced(orders->lease, now))
 		return false;
-	/* All servers that start at once would ask the weight store at once
-	 * and most be refused; load orders go out a few at a time. */
+	/*
+	 * Servers that start at the same time would all load from the weight
+	 * store at the same time, and it would refuse most; so load orders are
+	 * sent a few at a time.
+	 */
 	return target->order != ORDER_LOAD ||
 	    (now >= orders->load_ms &&
 		count_running(orders) < orders->settings.at_once);
@@ -313,15 +325,17 @@
 
 	action->body.order.server = target->server;
 	action->body.order.fence = target->order_fence;
-	/* A lost or late answer: the repeat has the same number, and the
-	 * engine does not run it again. */
+	/*
+	 * A repeat after a lost or late answer has the same number, and the
+	 * engine does not run it again.
+	 */
 	action->body.order.order = target->order_id;
 	action->body.order.body = encode(target);
 	target->running = true;
 	target->due_ms = now + target->wait_ms;
 	target->wait_ms *= 2;
-	if (target->wait_ms > RETRY_MOST_MS)
-		target->wait_ms = RETRY_MOST_MS;
+	if (target->wait_ms > RETRY_MAX_MS)
+		target->wait_ms = RETRY_MAX_MS;
 	if (target->order == ORDER_LOAD)
 		orders->load_ms = now + orders->settings.spacing_ms;
 }
@@ -368,8 +382,8 @@
 static void
 close_applied(jj_orders_t *orders, target_t *target, jj_actions_t *out)
 {
-	wish_t *applied = &target->applied;
-	const wish_t *ordered = &target->ordered;
+	engine_state_t *applied = &target->applied;
+	const engine_state_t *ordered = &target->ordered;
 
 	if (target->order == ORDER_LOAD) {
 		memcpy(applied->model, ordered->model, sizeof(applied->model));
@@ -386,8 +400,10 @@
 	    (unsigned long long)target->order_id);
 }
 
-/* The weight store's quota is used up, for all servers alike: all loads wait,
- * twice as long each time. The order was not run; it gets a new number. */
+/*
+ * The weight store's quota is used up for all servers: all loads wait, twice as
+ * long each time. The order was not run; the next one gets a new number.
+ */
 static void
 close_limited(
     jj_orders_t *orders, target_t *target, jj_ms_t retry_after_ms, jj_ms_t now)
@@ -396,8 +412,8 @@
 
 	if (wait < orders->settings.spacing_ms)
 		wait = orders->settings.spacing_ms;
-	if (wait > RETRY_MOST_MS)
-		wait = RETRY_MOST_MS;
+	if (wait > RETRY_MAX_MS)
+		wait = RETRY_MAX_MS;
 	orders->limited_ms = wait;
 	if (wait < retry_after_ms)
 		wait = retry_after_ms;
@@ -413,13 +429,13 @@
 
 	TAILQ_FOREACH(target, &orders->targets, link)
 	{
-		jj_ms_t due = target->wished_ms + orders->settings.settle_ms;
+		jj_ms_t due = target->desired_ms + orders->settings.settle_ms;
 
 		if (target->order != ORDER_NONE)
 			due = target->due_ms;
 		else if (target->refused ||
-		    memcmp(&target->wish, &target->applied,
-			sizeof(target->wish)) == 0)
+		    memcmp(&target->desired, &target->applied,
+			sizeof(target->desired)) == 0)
 			continue;
 		if (due < next)
 			next = due;
