--- a/tests/core/inline_entries_test.cc
+++ b/tests/core/inline_entries_test.cc
@@ -1,6 +1,6 @@
 /**
  * @file inline_entries_test.cc
- * @brief Open entries and jobs that another writer put in place of ours.
+ * @brief Malformed open entries and jobs, written by another writer.
  */
 #include "tests/core/inline_world.h"
 
@@ -35,13 +35,15 @@
 	void
 	lose(InlineVm &vm)
 	{
-		vm.frozen = true;
-		dead.insert(vm.writer);
+		vm.paused = true;
+		lost_writers.insert(vm.writer);
 		pass(8000);
 	}
 };
 
-/* Guards against a job that loses its VM while its entry can't be read. */
+/*
+ * A job whose VM is lost while its entry is malformed must still be taken over.
+ */
 TEST_P(InlineEntries, AJobWhoseEntryIsBadIsTakenOver)
 {
 	b.submit("j", 2);
@@ -59,7 +61,7 @@
 	EXPECT_FALSE(platform.has("batch-open/j"));
 }
 
-/* Guards against a bad entry that hides others, or floods the log. */
+/* A malformed entry must not hide others, or be logged again and again. */
 TEST_P(InlineEntries, ABadEntryHidesNoOther)
 {
 	platform.put("batch-open/bad", GetParam().value);
@@ -93,7 +95,7 @@
 {
 };
 
-/* Guards against an unreadable job that holds others up, or is deleted. */
+/* A malformed job must not delay others, and must not be deleted. */
 TEST_P(InlineForeignJob, DisturbsNoOther)
 {
 	InlineVm &a = add_vm("a");
@@ -104,8 +106,8 @@
 	b.submit("j", 2);
 	pass(200);
 	platform.put("batch-jobs/bad", GetParam().value);
-	b.frozen = true;
-	dead.insert(b.writer);
+	b.paused = true;
+	lost_writers.insert(b.writer);
 	pass(20000);
 	EXPECT_EQ(2U, a.items.size());
 	EXPECT_TRUE(platform.has("batch-jobs/bad"));
--- a/tests/core/inline_model_test.cc
+++ b/tests/core/inline_model_test.cc
@@ -1,6 +1,6 @@
 /**
  * @file inline_model_test.cc
- * @brief Results that were read stay readable, in all orders of what happens.
+ * @brief Results that were read stay readable, in all sequences of failures.
  */
 #include <algorithm>
 #include <map>
@@ -10,24 +10,24 @@
 namespace
 {
 
-/** Positions that were read have to be known everywhere after so long, ms. */
+/** A position that was read has to be known at all VMs after this, ms. */
 constexpr jj_ms_t SETTLE_MS = 1000;
 constexpr int ITEMS = 3;
 
-/** What may happen to the VM that took the job, and to the world. */
+/** Events: failures of the VM that accepted the job, ends of items, waits. */
 enum Event {
-	CUT, /**< it reaches neither the platform nor other VMs */
-	HEAL, /**< its calls under way take effect now */
-	FREEZE,
-	THAW,
+	DISCONNECT, /**< from the platform and all other VMs */
+	RECONNECT, /**< its pending calls take effect now */
+	PAUSE,
+	RESUME,
 	FINISH_HERE, /**< one of its items ends */
 	FINISH_THERE, /**< all of the other VM's items end */
-	MOMENT,
-	LONG_WHILE, /**< a job of a VM that is lost is taken over in it */
+	SHORT_WAIT,
+	LONG_WAIT, /**< long enough for a lost VM's job to be taken over */
 	EVENTS
 };
 
-/** Three VMs; the second one takes the job and is cut off or frozen. */
+/** Three VMs; the second one accepts the job and is disconnected or paused. */
 class ThreeVms : public InlineWorld
 {
       public:
@@ -41,69 +41,69 @@
 	TestBody() override
 	{
 	}
-	std::string wrong;
+	std::string violation;
 
       protected:
 	InlineVm &a;
 	InlineVm &b;
 	InlineVm &c;
-	bool is_cut = false;
+	bool is_disconnected = false;
 
 	void
-	set_cut(bool to)
+	set_disconnected(bool to)
 	{
-		is_cut = to;
-		b.blind = to;
+		is_disconnected = to;
+		b.watch_stalled = to;
 		if (to) {
-			dead.insert(b.writer);
-			b.holds = [](const jj_platform_call_t &) {
+			lost_writers.insert(b.writer);
+			b.defers = [](const jj_platform_call_t &) {
 				return true;
 			};
 			return;
 		}
-		dead.erase(b.writer);
-		b.holds = nullptr;
+		lost_writers.erase(b.writer);
+		b.defers = nullptr;
 		b.release();
 	}
 	void
-	set_frozen(bool to)
+	set_paused(bool to)
 	{
-		b.frozen = to;
+		b.paused = to;
 		if (to)
-			dead.insert(b.writer);
+			lost_writers.insert(b.writer);
 		else
-			dead.erase(b.writer);
+			lost_writers.erase(b.writer);
 	}
 };
 
 class Results : public ThreeVms
 {
       public:
-	/** False when it can't happen now: nothing would be new. */
+	/** False when the event is impossible now, or has no effect. */
 	bool
-	happen(int event)
+	apply(int event)
 	{
-		bool away = b.frozen || is_cut;
+		bool is_away = b.paused || is_disconnected;
 
 		switch (event) {
-		case CUT:
-			if (away)
+		case DISCONNECT:
+			if (is_away)
 				return false;
-			set_cut(true);
+			set_disconnected(true);
 			break;
-		case HEAL:
-			if (!is_cut)
+		case RECONNECT:
+			if (!is_disconnected)
 				return false;
-			set_cut(false);
+			set_disconnected(false);
 			break;
-		case FREEZE:
-		case THAW:
-			if (is_cut || b.frozen == (event == FREEZE))
+		case PAUSE:
+		case RESUME:
+			if (is_disconnected || b.paused == (event == PAUSE))
 				return false;
-			set_frozen(event == FREEZE);
+			set_paused(event == PAUSE);
 			break;
 		case FINISH_HERE:
-			if (b.frozen || !finish_one(b))
+			if (b.paused || !finish_one(b))
 				return false;
 			break;
 		case FINISH_THERE:
@@ -111,19 +111,20 @@
 				return false;
 			a.finish_all("t");
 			break;
-		case MOMENT:
+		case SHORT_WAIT:
 			pass(700);
 			break;
 		default:
 			pass(3000);
 			break;
 		}
-		look();
+		check_reads();
 		return true;
 	}
 
       private:
-	std::map<jj_ms_t, uint32_t> read_by; /**< most that was read by then */
+	/** Largest number of results read by then. */
+	std::map<jj_ms_t, uint32_t> read_by;
 
 	static bool
 	finish_one(InlineVm &vm)
@@ -132,19 +133,19 @@
 			return false;
 		return vm.finish(vm.items.begin()->second, "t");
 	}
-	/** Readers at each VM that runs; what VMs say comes to all others. */
+	/** Reads at each running VM, after reports were sent to all others. */
 	void
-	look()
+	check_reads()
 	{
 		pass(50);
-		a.tell_states(c);
-		if (!b.frozen && !is_cut) {
-			b.tell_states(c);
-			b.tell_states(a);
-			a.tell_states(b);
+		a.report_states(c);
+		if (!b.paused && !is_disconnected) {
+			b.report_states(c);
+			b.report_states(a);
+			a.report_states(b);
 		}
 		for (InlineVm *vm : {&a, &b, &c})
-			if (!vm->frozen)
+			if (!vm->paused)
 				read_at(*vm);
 	}
 	void
@@ -159,9 +160,9 @@
 				known = std::max(known, read.second);
 		if (vm.answer(all).status == 404 ||
 		    (vm.answer(all).status == 200 && shown < known))
-			wrong = vm.writer + " shows " + std::to_string(shown) +
-			    " where " + std::to_string(known) +
-			    " had been read";
+			violation = vm.writer + " publishes " +
+			    std::to_string(shown) + " where " +
+			    std::to_string(known) + " had been read";
 		read_by[now] = std::max(read_by[now], shown);
 	}
 	static uint32_t
@@ -171,86 +172,88 @@
 	}
 };
 
-/** Runs the events of a number, its digits; false: one could not happen. */
+/** Runs the events that the digits of a number give; false: impossible. */
 bool
-play(int code, int depth)
+run_sequence(int code, int depth)
 {
 	Results results;
-	std::string order;
+	std::string sequence;
 
 	for (int i = 0; i < depth; i++, code /= EVENTS) {
-		order += " " + std::to_string(code % EVENTS);
-		if (!results.happen(code % EVENTS))
+		sequence += " " + std::to_string(code % EVENTS);
+		if (!results.apply(code % EVENTS))
 			return false;
-		EXPECT_EQ("", results.wrong) << "events" << order;
-		if (!results.wrong.empty())
+		EXPECT_EQ("", results.violation) << "events" << sequence;
+		if (!results.violation.empty())
 			return true;
 	}
 	return true;
 }
 
 /*
- * A VM runs a job, is cut off or frozen at any moment and comes back at any
- * other; items end here and there, its calls take effect late. Each order of
- * five such events is played, with readers at three VMs after each.
+ * A VM runs a job and is disconnected or paused at any moment, and comes back
+ * at any other; items end at several VMs, and pending calls take effect late.
+ * Plays each sequence of five such events, with reads at three VMs after each
+ * event.
  */
 TEST(InlineModel, WhatWasReadStaysReadable)
 {
 	constexpr int DEPTH = 5;
-	int orders = 1;
-	int played = 0;
+	int sequences = 1;
+	int run_count = 0;
 
 	for (int i = 0; i < DEPTH; i++)
-		orders *= EVENTS;
-	for (int code = 0; code < orders && !::testing::Test::HasFailure();
+		sequences *= EVENTS;
+	for (int code = 0; code < sequences && !::testing::Test::HasFailure();
 	     code++)
-		played += play(code, DEPTH);
-	EXPECT_GT(played, 1000);
-	RecordProperty("orders", played);
+		run_count += run_sequence(code, DEPTH);
+	EXPECT_GT(run_count, 1000);
+	RecordProperty("orders", run_count);
 }
 
-/** How long after an end's confirmation an item may still begin, ms. */
+/** An item may still start this long after an end was confirmed, ms. */
 constexpr jj_ms_t CANCEL_MS = 3000;
-/** A VM is answerable for what it does so long after a cut or freeze, ms. */
+/** A VM is checked only this long after a disconnect or pause, ms. */
 constexpr jj_ms_t STABLE_MS = 3000;
 
-/** What may happen around the end of a job by its client. */
+/** Events around the end of a job by its client. */
 enum EndEvent {
-	E_CUT, /**< the VM that took it reaches nobody */
-	E_HEAL, /**< its calls under way take effect now */
-	E_FREEZE,
-	E_THAW,
-	E_END_HERE, /**< the client ends the job at the VM that took it */
+	E_DISCONNECT, /**< the VM that accepted it reaches nobody */
+	E_RECONNECT, /**< its pending calls take effect now */
+	E_PAUSE,
+	E_RESUME,
+	E_END_HERE, /**< the client ends the job at the VM that accepted it */
 	E_END_THERE, /**< or at another one */
 	E_SEND_AGAIN, /**< the submission comes once more, elsewhere */
 	E_FINISH_ONE, /**< one of the first VM's items ends */
-	E_MOMENT,
-	E_LONG_WHILE, /**< a job of a VM that is lost is taken over in it */
+	E_SHORT_WAIT,
+	E_LONG_WAIT, /**< long enough for a lost VM's job to be taken over */
 	E_EVENTS
 };
 
 class Ending : public ThreeVms
 {
       public:
-	/** False when it can't happen now: nothing would be new. */
+	/** False when the event is impossible now, or has no effect. */
 	bool
-	happen(int event)
+	apply(int event)
 	{
 		switch (event) {
-		case E_CUT:
-		case E_HEAL:
-			if (b.frozen || is_cut == (event == E_CUT))
+		case E_DISCONNECT:
+		case E_RECONNECT:
+			if (b.paused ||
+			    is_disconnected == (event == E_DISCONNECT))
 				return false;
-			set_cut(event == E_CUT);
+			set_disconnected(event == E_DISCONNECT);
 			break;
-		case E_FREEZE:
-		case E_THAW:
-			if (is_cut || b.frozen == (event == E_FREEZE))
+		case E_PAUSE:
+		case E_RESUME:
+			if (is_disconnected || b.paused == (event == E_PAUSE))
 				return false;
-			set_frozen(event == E_FREEZE);
+			set_paused(event == E_PAUSE);
 			break;
 		case E_END_HERE:
-			if (b.frozen)
+			if (b.paused)
 				return false;
 			end_at(b);
 			break;
@@ -261,11 +264,11 @@
 			(void)c.submit("j", ITEMS);
 			break;
 		case E_FINISH_ONE:
-			if (b.frozen || b.items.empty())
+			if (b.paused || b.items.empty())
 				return false;
 			(void)b.finish(b.items.begin()->second, "t");
 			break;
-		case E_MOMENT:
+		case E_SHORT_WAIT:
 			elapse(700);
 			break;
 		default:
@@ -275,22 +278,24 @@
 		elapse(100);
 		return true;
 	}
-	/** Nothing more happens: what was held back is free, time passes. */
+	/** Ends all failures: deferred calls take effect, time passes. */
 	void
-	calm_down()
+	recover()
 	{
-		if (is_cut)
-			set_cut(false);
-		if (b.frozen)
-			set_frozen(false);
+		if (is_disconnected)
+			set_disconnected(false);
+		if (b.paused)
+			set_paused(false);
 		elapse(12000);
 	}
 	bool ended = false;
 
       private:
 	jj_ms_t ended_ms = 0;
-	jj_ms_t disturbed_ms = 0; /**< b was cut or frozen until then */
-	std::vector<std::pair<InlineVm *, uint64_t>> ends; /**< asked for */
+	/** VM b was disconnected or paused until then. */
+	jj_ms_t disturbed_ms = 0;
+	/** End operations that were sent. */
+	std::vector<std::pair<InlineVm *, uint64_t>> ends;
 
 	void
 	end_at(InlineVm &vm)
@@ -302,117 +307,121 @@
 	{
 		for (jj_ms_t until = now + ms; now < until;) {
 			pass(50);
-			tell();
+			report();
 			note_ends();
-			if (is_cut || b.frozen)
+			if (is_disconnected || b.paused)
 				disturbed_ms = now;
-			judge(a, 0);
-			judge(b, disturbed_ms + STABLE_MS);
-			judge(c, 0);
+			check_items(a, 0);
+			check_items(b, disturbed_ms + STABLE_MS);
+			check_items(c, 0);
 		}
 	}
-	/** What VMs tell each other comes to those that can hear it. */
+	/** Delivers reports and notifications between connected VMs. */
 	void
-	tell()
+	report()
 	{
 		InlineVm *all[] = {&a, &b, &c};
 
 		for (InlineVm *from : all)
 			for (InlineVm *to : all)
-				if (from != to && is_heard(*from) &&
-				    is_heard(*to))
-					tell_one(*from, *to);
+				if (from != to && is_connected(*from) &&
+				    is_connected(*to))
+					report_to(*from, *to);
 	}
 	bool
-	is_heard(const InlineVm &vm) const
+	is_connected(const InlineVm &vm) const
 	{
-		return &vm != &b || (!is_cut && !b.frozen);
+		return &vm != &b || (!is_disconnected && !b.paused);
 	}
 	void
-	tell_one(InlineVm &from, InlineVm &to)
+	report_to(InlineVm &from, InlineVm &to)
 	{
-		std::vector<std::string> left;
+		std::vector<std::string> undelivered;
 
-		from.tell_states(to);
-		for (const std::string &told : from.told_ended) {
-			if (told.substr(0, told.find(' ')) != to.writer) {
-				left.push_back(told);
+		from.report_states(to);
+		for (const std::string &notice : from.ended_notices) {
+			if (notice.substr(0, notice.find(' ')) != to.writer) {
+				undelivered.push_back(notice);
 				continue;
 			}
 			jj_inline_take_ended(to.jobs,
-			    told.substr(told.find(' ') + 1).c_str(), now,
+			    notice.substr(notice.find(' ') + 1).c_str(), now,
 			    &to.out);
-			to.settle();
+			to.run_actions();
 		}
-		from.told_ended = left;
+		from.ended_notices = undelivered;
 	}
 	void
 	note_ends()
 	{
-		for (auto &asked : ends) {
+		for (auto &sent_end : ends) {
 			if (ended ||
-			    asked.first->answer(asked.second).status != 200)
+			    sent_end.first->answer(sent_end.second).status !=
+				200)
 				continue;
 			ended = true;
 			ended_ms = now;
 		}
 	}
-	/** An item that a VM has begun may reach a server at any moment. */
+	/**
+	 * Started items may reach a server at any moment, so none may be left.
+	 */
 	void
-	judge(const InlineVm &vm, jj_ms_t from)
+	check_items(const InlineVm &vm, jj_ms_t from)
 	{
-		if (ended && !vm.items.empty() && !vm.frozen && now >= from &&
+		if (ended && !vm.items.empty() && !vm.paused && now >= from &&
 		    now > ended_ms + CANCEL_MS)
-			wrong = vm.writer + " has " +
+			violation = vm.writer + " has " +
 			    std::to_string(vm.items.size()) + " items " +
 			    std::to_string(now - ended_ms) +
 			    " ms after the end";
 	}
 };
 
-/** Runs the events of a number, its digits; false: one could not happen. */
+/** Runs the events that the digits of a number give; false: impossible. */
 bool
-play_end(int code, int depth, bool *ended)
+run_end_sequence(int code, int depth, bool *ended)
 {
 	Ending world;
-	std::string order;
+	std::string sequence;
 
 	for (int i = 0; i < depth; i++, code /= E_EVENTS) {
-		order += " " + std::to_string(code % E_EVENTS);
-		if (!world.happen(code % E_EVENTS))
+		sequence += " " + std::to_string(code % E_EVENTS);
+		if (!world.apply(code % E_EVENTS))
 			return false;
 	}
-	world.calm_down();
+	world.recover();
 	*ended = world.ended;
-	EXPECT_EQ("", world.wrong) << "events" << order;
+	EXPECT_EQ("", world.violation) << "events" << sequence;
 	return true;
 }
 
 /*
- * An item of a job ran that its client had ended, on a day on which a domain
- * was cut off. The VM that takes a job is cut off or frozen at any moment and
- * comes back at any other; the client ends the job here or there, and its
- * submission comes again. Once an end was confirmed, no VM that is in touch
- * has an item of the job that may reach a server later than CANCEL_MS.
+ * An item of a job ran after its client had ended the job, on a day on which a
+ * domain was disconnected. The VM that accepts a job is disconnected or paused
+ * at any moment and comes back at any other; the client ends the job at one VM
+ * or another, and its submission is sent again. Once an end is confirmed, no
+ * connected VM may have an item of the job that can reach a server later than
+ * CANCEL_MS.
  */
 TEST(InlineModel, WhatWasEndedIsNotBegunAgain)
 {
 	constexpr int DEPTH = 5;
-	int orders = 1;
-	int played = 0;
+	int sequences = 1;
+	int run_count = 0;
 	int with_end = 0;
 
 	for (int i = 0; i < DEPTH; i++)
-		orders *= E_EVENTS;
-	for (int code = 0; code < orders && !::testing::Test::HasFailure();
+		sequences *= E_EVENTS;
+	for (int code = 0; code < sequences && !::testing::Test::HasFailure();
 	     code++) {
 		bool ended = false;
 
-		played += play_end(code, DEPTH, &ended);
+		run_count += run_end_sequence(code, DEPTH, &ended);
 		with_end += ended;
 	}
 	EXPECT_GT(with_end, 1000);
-	RecordProperty("orders", played);
+	RecordProperty("orders", run_count);
 }
 
 } // namespace
--- a/tests/core/inline_progress_test.cc
+++ b/tests/core/inline_progress_test.cc
@@ -1,6 +1,6 @@
 /**
  * @file inline_progress_test.cc
- * @brief An accepted job is run to its end, in all orders of what happens.
+ * @brief An accepted job runs to completion, in all sequences of failures.
  */
 #include "tests/core/inline_world.h"
 
@@ -8,25 +8,27 @@
 {
 
 constexpr int ITEMS = 3;
-/** Without disturbances a job whose items end at once is over by then, ms. */
+/**
+ * Without failures a job whose items end at once is complete after this, ms.
+ */
 constexpr jj_ms_t DONE_MS = 12000;
 
-/** What may happen; the second VM takes the job. */
+/** Events; the second VM accepts the job. */
 enum Event {
-	CUT, /**< it reaches neither the platform nor other VMs */
-	HEAL, /**< its calls under way take effect now */
-	FREEZE,
-	THAW,
-	STOP, /**< a planned stop of it */
+	DISCONNECT, /**< it reaches neither the platform nor other VMs */
+	RECONNECT, /**< its pending calls take effect now */
+	PAUSE,
+	RESUME,
+	STOP, /**< planned stop of the second VM */
 	KILL,
-	REFUSE, /**< the platform does not answer the first VM */
-	ACCEPT,
-	FORGET, /**< the platform's history is gone */
+	PLATFORM_DOWN, /**< the platform does not answer the first VM */
+	PLATFORM_UP,
+	LOSE_HISTORY, /**< the platform drops its history of changes */
 	DROP_ROUTE,
 	ADD_ROUTE,
 	FINISH, /**< items end, one at each VM */
-	MOMENT,
-	LONG_WHILE,
+	SHORT_WAIT,
+	LONG_WAIT,
 	EVENTS
 };
 
@@ -42,58 +44,60 @@
 	TestBody() override
 	{
 	}
-	/** False when it can't happen now: nothing would be new. */
+	/** False when the event is impossible now, or has no effect. */
 	bool
-	happen(int event)
+	apply(int event)
 	{
 		switch (event) {
-		case CUT:
-		case HEAL:
-			if (gone || b.frozen || is_cut == (event == CUT))
+		case DISCONNECT:
+		case RECONNECT:
+			if (exited || b.paused ||
+			    is_disconnected == (event == DISCONNECT))
 				return false;
-			set_cut(event == CUT);
+			set_disconnected(event == DISCONNECT);
 			break;
-		case FREEZE:
-		case THAW:
-			if (gone || is_cut || b.frozen == (event == FREEZE))
+		case PAUSE:
+		case RESUME:
+			if (exited || is_disconnected ||
+			    b.paused == (event == PAUSE))
 				return false;
-			set_frozen(event == FREEZE);
+			set_paused(event == PAUSE);
 			break;
 		case STOP:
-			if (gone || stops || b.frozen)
+			if (exited || stopping || b.paused)
 				return false;
-			stops = true;
+			stopping = true;
 			jj_inline_leave(b.jobs, now, &b.out);
-			b.settle();
+			b.run_actions();
 			break;
 		case KILL:
-			if (gone)
+			if (exited)
 				return false;
 			kill();
 			break;
-		case REFUSE:
-		case ACCEPT:
-			if (refused == (event == REFUSE))
+		case PLATFORM_DOWN:
+		case PLATFORM_UP:
+			if (platform_down == (event == PLATFORM_DOWN))
 				return false;
-			set_refused(event == REFUSE);
+			set_platform_down(event == PLATFORM_DOWN);
 			break;
-		case FORGET:
-			a.lose_history();
-			c.lose_history();
+		case LOSE_HISTORY:
+			a.drop_history();
+			c.drop_history();
 			break;
 		case DROP_ROUTE:
 		case ADD_ROUTE:
-			if (dropped == (event == DROP_ROUTE))
+			if (route_removed == (event == DROP_ROUTE))
 				return false;
-			set_dropped(event == DROP_ROUTE);
+			set_route_removed(event == DROP_ROUTE);
 			break;
 		case FINISH:
 			for (InlineVm *vm : {&a, &b, &c})
-				if (!vm->frozen && !vm->items.empty())
+				if (!vm->paused && !vm->items.empty())
 					(void)vm->finish(
 					    vm->items.begin()->second, "t");
 			break;
-		case MOMENT:
+		case SHORT_WAIT:
 			elapse(700);
 			break;
 		default:
@@ -103,25 +107,25 @@
 		elapse(100);
 		return true;
 	}
-	/** All disturbances end; items end as soon as they begin. */
+	/** Ends all failures; items end as soon as they begin. */
 	void
-	calm_down()
+	recover()
 	{
-		if (is_cut)
-			set_cut(false);
-		if (b.frozen && !gone)
-			set_frozen(false);
-		if (refused)
-			set_refused(false);
-		if (dropped)
-			set_dropped(false);
+		if (is_disconnected)
+			set_disconnected(false);
+		if (b.paused && !exited)
+			set_paused(false);
+		if (platform_down)
+			set_platform_down(false);
+		if (route_removed)
+			set_route_removed(false);
 		for (jj_ms_t until = now + DONE_MS; now < until;) {
 			elapse(500);
 			if (stored("j").size() == ITEMS &&
 			    !platform.has("batch-open/j"))
 				return;
 			for (InlineVm *vm : {&a, &b, &c})
-				if (!vm->frozen)
+				if (!vm->paused)
 					vm->finish_all("t");
 		}
 	}
@@ -145,117 +149,119 @@
 	InlineVm &a;
 	InlineVm &b;
 	InlineVm &c;
-	bool is_cut = false;
-	bool stops = false;
-	bool gone = false; /**< the second VM's process has ended */
-	bool refused = false;
-	bool dropped = false;
+	bool is_disconnected = false;
+	bool stopping = false;
+	bool exited = false; /**< the second VM's process has ended */
+	bool platform_down = false;
+	bool route_removed = false;
 
 	void
 	elapse(jj_ms_t ms)
 	{
 		for (jj_ms_t until = now + ms; now < until;) {
 			pass(50);
-			if (stops && !gone && !is_cut && !b.frozen &&
-			    jj_inline_is_idle(b.jobs))
+			if (stopping && !exited && !is_disconnected &&
+			    !b.paused && jj_inline_is_idle(b.jobs))
 				kill();
 		}
 	}
 	void
 	kill()
 	{
-		gone = true;
-		is_cut = false;
-		b.frozen = true;
-		dead.insert(b.writer);
+		exited = true;
+		is_disconnected = false;
+		b.paused = true;
+		lost_writers.insert(b.writer);
 	}
 	void
-	set_cut(bool to)
+	set_disconnected(bool to)
 	{
-		is_cut = to;
-		b.blind = to;
-		b.holds_checks = to;
+		is_disconnected = to;
+		b.watch_stalled = to;
+		b.defers_checks = to;
 		if (to) {
-			dead.insert(b.writer);
-			b.holds = [](const jj_platform_call_t &) {
+			lost_writers.insert(b.writer);
+			b.defers = [](const jj_platform_call_t &) {
 				return true;
 			};
 			return;
 		}
-		dead.erase(b.writer);
-		b.holds = nullptr;
+		lost_writers.erase(b.writer);
+		b.defers = nullptr;
 		b.release();
 	}
 	void
-	set_frozen(bool to)
+	set_paused(bool to)
 	{
-		b.frozen = to;
+		b.paused = to;
 		if (to)
-			dead.insert(b.writer);
+			lost_writers.insert(b.writer);
 		else
-			dead.erase(b.writer);
+			lost_writers.erase(b.writer);
 	}
 	void
-	set_refused(bool to)
+	set_platform_down(bool to)
 	{
-		refused = to;
-		a.blind = to;
-		a.holds_checks = to;
+		platform_down = to;
+		a.watch_stalled = to;
+		a.defers_checks = to;
 		if (to) {
-			a.holds = [](const jj_platform_call_t &) {
+			a.defers = [](const jj_platform_call_t &) {
 				return true;
 			};
 			return;
 		}
-		a.holds = nullptr;
+		a.defers = nullptr;
 		a.release();
 	}
 	void
-	set_dropped(bool to)
+	set_route_removed(bool to)
 	{
-		dropped = to;
+		route_removed = to;
 		route.host =
 		    const_cast<char *>(to ? "altro.example" : "ordini.example");
 	}
 };
 
-/** Runs the events of a number, its digits; false: one could not happen. */
+/** Runs the events that the digits of a number give; false: impossible. */
 bool
-play(int code, int depth)
+run_sequence(int code, int depth)
 {
 	Progress world;
-	std::string order;
+	std::string sequence;
 
 	for (int i = 0; i < depth; i++, code /= EVENTS) {
-		order += " " + std::to_string(code % EVENTS);
-		if (!world.happen(code % EVENTS))
+		sequence += " " + std::to_string(code % EVENTS);
+		if (!world.apply(code % EVENTS))
 			return false;
 	}
-	world.calm_down();
+	world.recover();
 	EXPECT_EQ(size_t(ITEMS), world.stored("j").size())
-	    << "events" << order << "\n"
+	    << "events" << sequence << "\n"
 	    << world.describe();
 	EXPECT_FALSE(world.platform.has("batch-open/j"))
-	    << "events" << order << "\n"
+	    << "events" << sequence << "\n"
 	    << world.describe();
 	return true;
 }
 
-/* Guards against accepted jobs that no VM runs to their end once all is calm,
- * whatever came before, in all orders of four events. */
+/*
+ * After all failures have ended, some VM must run each accepted job to
+ * completion. Plays all sequences of four events.
+ */
 TEST(InlineProgress, AnAcceptedJobIsRunToItsEnd)
 {
 	constexpr int DEPTH = 4;
-	int orders = 1;
-	int played = 0;
+	int sequences = 1;
+	int run_count = 0;
 
 	for (int i = 0; i < DEPTH; i++)
-		orders *= EVENTS;
-	for (int code = 0; code < orders && !::testing::Test::HasFailure();
+		sequences *= EVENTS;
+	for (int code = 0; code < sequences && !::testing::Test::HasFailure();
 	     code++)
-		played += play(code, DEPTH);
-	EXPECT_GT(played, 5000);
-	RecordProperty("orders", played);
+		run_count += run_sequence(code, DEPTH);
+	EXPECT_GT(run_count, 5000);
+	RecordProperty("orders", run_count);
 }
 
 } // namespace
--- a/tests/core/inline_stop_test.cc
+++ b/tests/core/inline_stop_test.cc
@@ -1,6 +1,6 @@
 /**
  * @file inline_stop_test.cc
- * @brief A VM that stops hands its jobs over as they are.
+ * @brief Planned stop of a VM: it hands its jobs over without loss.
  */
 #include <jansson.h>
 
@@ -20,33 +20,36 @@
 	{
 		pass(100);
 	}
-	/** The other VM's job is taken over by the first one, which reads it. */
+	/**
+	 * The first VM takes the second one's job over, and is still reading
+	 * it.
+	 */
 	void
 	take_over()
 	{
-		a.holds = [](const jj_platform_call_t &call) {
+		a.defers = [](const jj_platform_call_t &call) {
 			return call.op == JJ_PLATFORM_GET &&
 			    strcmp(call.key, "batch-jobs/j") == 0;
 		};
-		b.frozen = true;
-		dead.insert(b.writer);
+		b.paused = true;
+		lost_writers.insert(b.writer);
 		pass(3000);
 		ASSERT_EQ(1U, jj_inline_counts(a.jobs).takeovers);
-		ASSERT_FALSE(a.held.empty());
+		ASSERT_FALSE(a.deferred.empty());
 	}
-	/** The first VM stops, and what it held back is answered. */
+	/** Stops the first VM, and answers its deferred calls. */
 	void
 	stop()
 	{
 		jj_inline_leave(a.jobs, now, &a.out);
-		a.settle();
-		a.holds = nullptr;
+		a.run_actions();
+		a.defers = nullptr;
 		a.release();
 		for (int i = 0; i < 40 && !jj_inline_is_idle(a.jobs); i++)
 			pass(50);
 		EXPECT_TRUE(jj_inline_is_idle(a.jobs));
-		a.frozen = true;
-		dead.insert(a.writer);
+		a.paused = true;
+		lost_writers.insert(a.writer);
 	}
 	std::string
 	entry(const std::string &id) const
@@ -62,7 +65,7 @@
 {
 };
 
-/* Guards against tokens that count for no route any more. */
+/* The entry must keep its route and tokens, or they would not be counted. */
 TEST_F(InlineStopFailure, WhileAJobIsReadKeepsItsTokens)
 {
 	(void)b.submit("j", 2);
@@ -78,7 +81,7 @@
 	json_decref(root);
 }
 
-/* Guards against a job that does not count while it is read. */
+/* A job's tokens count while its new owner is still reading it. */
 TEST_F(InlineStopFailure, AJobThatIsReadCounts)
 {
 	route.tokens_most = 25;
@@ -88,14 +91,16 @@
 	EXPECT_EQ(429, a.answer(a.submit("k", 1)).status);
 }
 
-/* Guards against an ended job that runs again when it is sent once more: its
- * entry, the only place that knew of the end, was deleted by a VM that had not
- * read the job yet. */
+/*
+ * An ended job must not run again when it is submitted once more. It did: its
+ * open entry, the only record of the end, was deleted by a VM that had not read
+ * the job yet.
+ */
 TEST_F(InlineStopFailure, WhileAnEndedJobIsReadKeepsTheEnd)
 {
 	(void)b.submit("j", 2);
 	pass(300);
-	b.frozen = true;
+	b.paused = true;
 	ASSERT_EQ(200, c.answer(c.end("j")).status);
 	take_over();
 	stop();
@@ -106,19 +111,19 @@
 	EXPECT_TRUE(c.items.empty());
 }
 
-/* Guards against the same where the end comes while the job is handed over. */
+/* The same, with the end while the job is handed over. */
 TEST_F(InlineStopFailure, WhileAJobIsEndedKeepsTheEnd)
 {
 	(void)a.submit("j", 2);
 	pass(300);
 	ASSERT_EQ(2U, a.items.size());
-	a.holds = [](const jj_platform_call_t &call) {
+	a.defers = [](const jj_platform_call_t &call) {
 		return call.op == JJ_PLATFORM_UPDATE;
 	};
 	jj_inline_leave(a.jobs, now, &a.out);
-	a.settle();
+	a.run_actions();
 	pass(50);
-	ASSERT_EQ(1U, a.held.size());
+	ASSERT_EQ(1U, a.deferred.size());
 	ASSERT_EQ(200, c.answer(c.end("j")).status);
 	stop();
 	pass(3000);
@@ -128,27 +133,30 @@
 	EXPECT_TRUE(c.items.empty());
 }
 
-/* Guards against a VM that stops before its takeover is answered: the job is
- * its own then, and others wait until it is lost. */
+/*
+ * A stopping VM waits for the answer to its takeover: otherwise it would own
+ * the job, and other VMs would wait until it is lost.
+ */
 TEST_F(InlineStopFailure, WaitsForATakeoverUnderWay)
 {
 	(void)b.submit("j", 2);
 	pass(300);
-	a.holds = [](const jj_platform_call_t &call) {
+	a.defers = [](const jj_platform_call_t &call) {
 		return call.op == JJ_PLATFORM_UPDATE;
 	};
-	b.frozen = true;
-	dead.insert(b.writer);
+	b.paused = true;
+	lost_writers.insert(b.writer);
 	pass(3000);
-	ASSERT_EQ(1U, a.held.size());
+	ASSERT_EQ(1U, a.deferred.size());
 	jj_inline_leave(a.jobs, now, &a.out);
-	a.settle();
+	a.run_actions();
 	EXPECT_FALSE(jj_inline_is_idle(a.jobs));
 	stop();
 	EXPECT_NE(std::string::npos, entry("j").find("\"owner\":\"\""))
 	    << entry("j");
 	pass(1000);
-	EXPECT_EQ(2U, c.items.size()) << "before a lost VM's would be";
+	EXPECT_EQ(2U, c.items.size())
+	    << "earlier than the takeover from a lost VM";
 }
 
 } // namespace
--- a/tests/core/inline_test.cc
+++ b/tests/core/inline_test.cc
@@ -1,6 +1,6 @@
 /**
  * @file inline_test.cc
- * @brief Jobs that come whole: accepted, run, read, ended, whatever fails.
+ * @brief Jobs submitted whole: accepted, run, read and ended, with failures.
  */
 #include "tests/core/inline_world.h"
 
@@ -67,8 +67,8 @@
 	ASSERT_EQ(202, a.answer(submit).status);
 	EXPECT_TRUE(platform.has("batch-parts/j.3"));
 	EXPECT_EQ(500000U, b.answer(b.read_item("j", "j-2")).body.size());
-	dead.insert(a.writer);
-	a.frozen = true;
+	lost_writers.insert(a.writer);
+	a.paused = true;
 	pass(8000);
 	EXPECT_EQ(3U, b.items.size()) << "another VM reads it whole";
 }
@@ -85,8 +85,10 @@
 	EXPECT_EQ(0U, page.find("5 4: j-")) << page.substr(0, 20);
 }
 
-/* Guards against results that are never shown, as the store refuses the
- * segment that they make too large. */
+/*
+ * A segment must not grow larger than the store accepts: its results would
+ * never be published.
+ */
 TEST_F(Inline, SegmentsFitTheStore)
 {
 	const struct {
@@ -116,8 +118,7 @@
 		    << object.first;
 }
 
-/* Guards against one result that hides all others of its job: no object of the
- * store holds it. */
+/* A result too large for any object must not block the other results. */
 TEST_F(Inline, AResultThatIsTooLargeHidesNoOther)
 {
 	(void)a.submit("j", 2);
@@ -126,7 +127,8 @@
 	(void)a.finish("j-1", "eins");
 	pass(2000);
 	EXPECT_EQ("2 0: j-1=eins", b.answer(b.read("j", 0)).body);
-	EXPECT_TRUE(a.items.empty()) << "it is not run again in vain";
+	EXPECT_TRUE(a.items.empty())
+	    << "the item runs again before its retention ends";
 	pass(61000);
 	EXPECT_EQ("2 1: j-0!", b.answer(b.read("j", 1)).body);
 	for (const auto &object : platform.objects)
@@ -175,8 +177,7 @@
 	EndCase{"Refused", JJ_INLINE_REFUSED, 1}),
     [](const auto &info) { return std::string(info.param.name); });
 
-/* Guards against an item that rests for minutes, or for ever, where a route
- * allows many runs. */
+/* The retry delay must stay at seconds, also on a route with many attempts. */
 TEST_F(InlineFailure, AnItemThatFailsOftenRestsForSeconds)
 {
 	route.attempts = 64;
@@ -187,7 +188,8 @@
 		ASSERT_TRUE(a.finish("j-0", "", JJ_INLINE_FAILED)) << run;
 		if (run > 4) {
 			pass(1000);
-			ASSERT_TRUE(a.items.empty()) << "it rests " << run;
+			ASSERT_TRUE(a.items.empty())
+			    << "no retry delay after run " << run;
 		}
 	}
 	pass(2000);
@@ -197,24 +199,24 @@
 }
 
 /*
- * A reader asks while a write of results is under way; the write's answer is
- * lost and it never took effect; the next write puts other results first. The
- * reader had seen a position whose result changed: results of a write under
- * way stood in the same list as those that were shown.
+ * A read arrives while a write of results is pending; the write's answer is
+ * lost and it never takes effect; the next write puts other results first. The
+ * reader saw a position whose result changed, as unconfirmed results stood in
+ * the same list as published ones.
  */
 TEST_F(InlineFailure, ResultsOfAWriteUnderWayAreNotShown)
 {
 	(void)a.submit("j", 3);
 	pass(100);
-	a.holds = [](const jj_platform_call_t &call) {
+	a.defers = [](const jj_platform_call_t &call) {
 		return call.op == JJ_PLATFORM_CREATE &&
 		    strncmp(call.key, "batch-out/", 10) == 0;
 	};
 	EXPECT_TRUE(a.finish("j-2", "zwei"));
 	pass(600);
-	ASSERT_EQ(1U, a.held.size());
+	ASSERT_EQ(1U, a.deferred.size());
 	EXPECT_EQ("3 0:", a.answer(a.read("j", 0)).body);
-	a.holds = nullptr;
+	a.defers = nullptr;
 	EXPECT_TRUE(a.finish("j-0", "null"));
 	platform.next_writes = {Fault::kNoAnswer};
 	a.release();
@@ -223,21 +225,21 @@
 }
 
 /*
- * A client ends its job and asks again a moment later, as it does when an
- * answer is slow. The VM's list still has the entry that was deleted with the
- * end, so its update found nothing and the client was told that there is no
- * such job.
+ * A client ends its job and repeats the end a moment later, as it does when an
+ * answer was slow. The VM's list still has the entry that was deleted with the
+ * end, so its update found nothing and the client got 404.
  */
 TEST_F(InlineFailure, AnEndThatIsAskedAgainIsConfirmedAgain)
 {
 	(void)a.submit("j", 1);
 	pass(300);
 	EXPECT_EQ(200, a.answer(a.end("j")).status);
-	b.frozen = true;
+	b.paused = true;
 	pass(100);
-	b.frozen = false;
+	b.paused = false;
 	EXPECT_FALSE(platform.has("batch-open/j"));
-	EXPECT_EQ(200, b.answer(b.end("j")).status) << "its list is behind";
+	EXPECT_EQ(200, b.answer(b.end("j")).status)
+	    << "with a list that still has the entry";
 	pass(500);
 	EXPECT_EQ(200, b.answer(b.end("j")).status);
 	EXPECT_EQ(200, a.answer(a.end("j")).status);
@@ -245,9 +247,9 @@
 }
 
 /*
- * A client ends its job, and the submission that it had sent again arrives
- * after the end. Nothing that knew of the end was left, so the job was adopted
- * anew and its items ran.
+ * A client ends its job, and a resend of its submission arrives after the end.
+ * Nothing recorded the end any more, so the job was adopted again and its items
+ * ran.
  */
 TEST_F(InlineFailure, AnEndedJobThatIsSentAgainIsNotRun)
 {
@@ -266,16 +268,16 @@
 }
 
 /*
- * The VM that runs a job dies just after its end was confirmed. The one that
- * takes the job over must not begin its items before it learns of the end.
+ * The VM that runs a job fails just after the end was confirmed. The VM that
+ * takes the job over must not start items before it learns of the end.
  */
 TEST_F(InlineFailure, AnEndedJobThatIsTakenOverIsNotRun)
 {
 	(void)b.submit("j", 2);
 	pass(300);
-	b.frozen = true;
+	b.paused = true;
 	EXPECT_EQ(200, a.answer(a.end("j")).status);
-	dead.insert(b.writer);
+	lost_writers.insert(b.writer);
 	for (int i = 0; i < 200; i++) {
 		pass(50);
 		EXPECT_TRUE(a.items.empty());
@@ -284,8 +286,8 @@
 }
 
 /*
- * The VM that took a job dies right after its answer. Its entry names a
- * process that is lost; another VM takes it over and runs it.
+ * The VM that accepted a job fails right after its answer. Its entry names a
+ * lost process; another VM takes it over and runs the job.
  */
 TEST_F(InlineFailure, AJobOfALostVmIsTakenOver)
 {
@@ -293,38 +295,38 @@
 	pass(100);
 	EXPECT_TRUE(b.finish("j-0", "null"));
 	pass(600);
-	b.frozen = true;
-	dead.insert(b.writer);
+	b.paused = true;
+	lost_writers.insert(b.writer);
 	pass(8000);
-	ASSERT_EQ(1U, a.items.size()) << "only what is not shown is run";
+	ASSERT_EQ(1U, a.items.size()) << "only the unpublished item is run";
 	a.finish_all("eins");
 	pass(600);
 	EXPECT_EQ("2 0: j-0=null j-1=eins", a.answer(a.read("j", 0)).body);
 }
 
 /*
- * A domain was cut off. It reached the platform again a second before it heard
- * the others, whom it had missed for six, and took their jobs over: work was
- * begun anew that was nearly done.
+ * A domain was disconnected. It reached the platform a second before it
+ * received heartbeats of the others, which it had missed for six seconds, and
+ * took their jobs over: work that was nearly done started again.
  */
-TEST_F(InlineFailure, SilenceDuringAnOwnCutTakesNoJobOver)
+TEST_F(InlineFailure, HeartbeatsMissedWhileDisconnectedTakeNoJobOver)
 {
 	(void)b.submit("j", 1);
 	pass(100);
-	dead.insert(b.writer);
+	lost_writers.insert(b.writer);
 	pass(5000);
 	a.reached_ms = now;
 	pass(5000);
 	EXPECT_EQ(0U, a.items.size());
-	dead.erase(b.writer);
+	lost_writers.erase(b.writer);
 	pass(8000);
 	EXPECT_EQ(0U, a.items.size());
 	EXPECT_EQ(1U, b.items.size());
 }
 
 /*
- * A VM is frozen, its job is taken over and finished elsewhere. It wakes with
- * results of its own in hand and publishes: each item keeps the one result and
+ * A VM is paused, its job is taken over and finished elsewhere. It resumes with
+ * unpublished results and writes them: each item must keep the result and
  * position that readers saw.
  */
 TEST_F(InlineFailure, AVmThatWakesDoesNotChangeWhatIsShown)
@@ -332,62 +334,62 @@
 	(void)b.submit("j", 2);
 	pass(100);
 	EXPECT_TRUE(b.finish("j-0", "alt"));
-	b.frozen = true;
-	dead.insert(b.writer);
+	b.paused = true;
+	lost_writers.insert(b.writer);
 	pass(8000);
 	a.finish_all("neu");
 	pass(600);
 	std::string shown = a.answer(a.read("j", 0)).body;
 	EXPECT_EQ("2 0: j-0=neu j-1=neu", shown);
-	b.frozen = false;
+	b.paused = false;
 	jj_inline_tick(b.jobs, now, &b.out);
-	b.settle();
+	b.run_actions();
 	EXPECT_TRUE(b.finish("j-1", "alt") || b.items.empty());
 	pass(3000);
 	EXPECT_EQ(shown, b.answer(b.read("j", 0)).body);
 	EXPECT_EQ(2U, stored("j").size());
-	EXPECT_TRUE(b.items.empty()) << "it runs nothing of it any more";
+	EXPECT_TRUE(b.items.empty()) << "the VM still runs items of a lost job";
 }
 
 /*
- * While a VM was frozen its job was taken over and more was shown elsewhere.
- * It wakes and is asked before its list has caught up: it must not say that
- * there is nothing at a position that was read.
+ * While a VM was paused its job was taken over and more results were published
+ * elsewhere. It resumes and gets a read before its list is updated: it must not
+ * return an empty page for a position that was read.
  */
 TEST_F(InlineFailure, AVmThatLostItsJobAsksThePlatform)
 {
 	(void)b.submit("j", 2);
 	pass(300);
-	b.frozen = true;
-	dead.insert(b.writer);
+	b.paused = true;
+	lost_writers.insert(b.writer);
 	pass(8000);
 	EXPECT_TRUE(a.finish("j-1", "neu"));
 	pass(600);
-	b.frozen = false;
-	b.see_changes();
+	b.paused = false;
+	b.deliver_changes();
 	EXPECT_EQ("2 0: j-1=neu", b.answer(b.read("j", 0)).body);
 }
 
 /*
- * A VM is cut off with a write of results under way; its job is taken over.
- * The cut heals, the write takes effect, and readers at other VMs see its
- * results, while the VM that runs the job now says that there are none.
+ * A VM is disconnected while a write of results is pending; its job is taken
+ * over. After the reconnect the write takes effect, and readers at other VMs
+ * saw its results, while the VM that runs the job now returned none.
  */
 TEST_F(InlineFailure, ALateWriteOfTheVmBeforeDoesNotCount)
 {
 	(void)b.submit("j", 2);
 	pass(300);
-	b.holds = [](const jj_platform_call_t &call) {
+	b.defers = [](const jj_platform_call_t &call) {
 		return strncmp(call.key, "batch-out/", 10) == 0;
 	};
 	EXPECT_TRUE(b.finish("j-0", "alt"));
 	pass(600);
-	ASSERT_EQ(1U, b.held.size());
-	b.frozen = true;
-	dead.insert(b.writer);
+	ASSERT_EQ(1U, b.deferred.size());
+	b.paused = true;
+	lost_writers.insert(b.writer);
 	pass(8000);
 	ASSERT_EQ(2U, a.items.size());
-	b.holds = nullptr;
+	b.defers = nullptr;
 	b.release();
 	EXPECT_TRUE(stored("j").empty());
 	EXPECT_EQ("2 0:", a.answer(a.read("j", 0)).body);
@@ -396,18 +398,18 @@
 	EXPECT_EQ("2 0: j-0=neu j-1=neu", a.answer(a.read("j", 0)).body);
 }
 
-/* Guards against results that a VM which stops adds to another VM's job. */
+/* A VM that resumes must not append results to a job that another VM owns. */
 TEST_F(InlineFailure, AVmThatLostItsJobWritesNothingMore)
 {
 	(void)b.submit("j", 2);
 	pass(300);
-	b.frozen = true;
-	dead.insert(b.writer);
+	b.paused = true;
+	lost_writers.insert(b.writer);
 	pass(8000);
 	ASSERT_EQ(2U, a.items.size());
-	dead.clear();
-	b.frozen = false;
-	b.blind = true;
+	lost_writers.clear();
+	b.paused = false;
+	b.watch_stalled = true;
 	EXPECT_TRUE(b.finish("j-0", "alt"));
 	pass(3000);
 	EXPECT_TRUE(stored("j").empty());
@@ -415,27 +417,27 @@
 	EXPECT_TRUE(b.items.empty());
 }
 
-/* Guards against results that a VM which stops adds to another VM's job. */
+/* The same for a VM that is stopping. */
 TEST_F(InlineFailure, AStoppingVmThatLostItsJobWritesNothingMore)
 {
 	(void)b.submit("j", 2);
 	pass(300);
 	EXPECT_TRUE(b.finish("j-0", "alt"));
-	b.frozen = true;
-	dead.insert(b.writer);
+	b.paused = true;
+	lost_writers.insert(b.writer);
 	pass(8000);
 	ASSERT_EQ(2U, a.items.size());
-	dead.clear();
-	b.frozen = false;
+	lost_writers.clear();
+	b.paused = false;
 	jj_inline_leave(b.jobs, now, &b.out);
-	b.settle();
+	b.run_actions();
 	pass(3000);
 	EXPECT_TRUE(stored("j").empty());
 	EXPECT_EQ("2 0:", a.answer(a.read("j", 0)).body);
 	EXPECT_TRUE(jj_inline_is_idle(b.jobs));
 }
 
-/* Guards against a VM that stops and answers for a job that is closed. */
+/* A stopping VM must not answer for a job that another VM owns and closed. */
 TEST_F(InlineFailure, AStoppingVmAnswersForNoClosedJob)
 {
 	(void)b.submit("j", 2);
@@ -443,46 +445,45 @@
 	EXPECT_TRUE(b.finish("j-0", "alt"));
 	pass(1000);
 	ASSERT_EQ(1U, stored("j").size());
-	b.holds = [](const jj_platform_call_t &call) {
+	b.defers = [](const jj_platform_call_t &call) {
 		return call.op == JJ_PLATFORM_UPDATE &&
 		    strcmp(call.key, "batch-open/j") == 0;
 	};
 	jj_inline_leave(b.jobs, now, &b.out);
-	b.settle();
+	b.run_actions();
 	pass(100);
-	ASSERT_FALSE(b.held.empty());
-	dead.insert(b.writer);
+	ASSERT_FALSE(b.deferred.empty());
+	lost_writers.insert(b.writer);
 	pass(8000);
 	a.finish_all("neu");
 	pass(2000);
 	ASSERT_EQ(2U, stored("j").size());
-	dead.clear();
+	lost_writers.clear();
 	uint64_t read = b.read("j", 1);
 	pass(2000);
 	EXPECT_EQ("2 1: j-1=neu", b.answer(read).body);
 }
 
 /*
- * After a cut a VM's watch had failed and waited for its next try, while its
- * looks at the list of open jobs already succeeded. It counted as sure of its
- * jobs, but did not give up the one that another VM had taken over, and
- * appended to its results.
+ * After a disconnect a VM's watch had failed and was in backoff, while its
+ * checks of the open entries succeeded again. It counted as verified, but did
+ * not drop the job that another VM had taken over, and appended to its results.
  */
-TEST_F(InlineFailure, ALookAtTheListTakesALostJobAwayWhileTheWatchFails)
+TEST_F(InlineFailure, ACheckOfTheListDropsALostJobWhileTheWatchFails)
 {
 	(void)b.submit("j", 2);
 	pass(300);
-	b.frozen = true;
-	dead.insert(b.writer);
+	b.paused = true;
+	lost_writers.insert(b.writer);
 	pass(8000);
 	ASSERT_EQ(2U, a.items.size());
-	dead.clear();
-	b.frozen = false;
-	b.blind = true;
-	cut = true;
+	lost_writers.clear();
+	b.paused = false;
+	b.watch_stalled = true;
+	heartbeats_missing = true;
 	EXPECT_TRUE(b.finish("j-0", "alt"));
 	for (int i = 0; i < 60; i++) {
-		b.lose_watch();
+		b.fail_watch();
 		pass(50);
 	}
 	EXPECT_TRUE(stored("j").empty());
@@ -490,13 +491,13 @@
 }
 
 /*
- * A domain is cut off; a job of its VM is taken over, run to its end and closed
- * before the cut heals. The VM's watch brings the takeover and the deletion of
- * the entry together, so it never saw another owner. It held the job for its
- * own and unlisted, ran it on, and told readers of every VM, for seconds, that
+ * A domain is disconnected; a job of its VM is taken over, completed and closed
+ * before the reconnect. The VM's watch returns the takeover and the deletion of
+ * the entry together, so it never saw another owner. It took the job for its
+ * own, not listed yet, ran it on, and for seconds reported to all VMs that
  * there is nothing at positions that had been read.
  */
-TEST_F(InlineFailure, AJobThatEndedElsewhereDuringACutIsNotGoneOnWith)
+TEST_F(InlineFailure, AJobThatEndedElsewhereDuringADisconnectIsNotResumed)
 {
 	InlineVm &reader = add_vm("c");
 
@@ -505,42 +506,41 @@
 	EXPECT_TRUE(b.finish("j-0", "first"));
 	pass(600);
 	ASSERT_EQ(1U, stored("j").size());
-	b.frozen = true;
-	dead.insert(b.writer);
+	b.paused = true;
+	lost_writers.insert(b.writer);
 	pass(8000);
 	a.finish_all("second");
 	pass(600);
 	ASSERT_EQ(2U, stored("j").size());
 	ASSERT_FALSE(platform.has("batch-open/j"));
 	pass(5000);
-	dead.clear();
-	b.frozen = false;
+	lost_writers.clear();
+	b.paused = false;
 	pass(50);
-	b.tell_states(reader);
+	b.report_states(reader);
 	EXPECT_TRUE(b.items.empty());
 	EXPECT_EQ("2 1: j-1=second", b.answer(b.read("j", 1)).body);
 	EXPECT_EQ("2 1: j-1=second", reader.answer(reader.read("j", 1)).body);
 }
 
 /*
- * The same, but its client ended the job at the VM that had taken it over. The
- * VM that came back went on with the items of an ended job, which nobody asked
- * for any more; and one that learned of the end from the stored results closed
- * the job and left its items at their servers.
+ * The same, but the client ended the job at the VM that had taken it over. The
+ * VM that came back ran items of the ended job; and one that learned of the end
+ * from the stored results closed the job and left its items at their servers.
  */
-TEST_F(InlineFailure, AJobThatItsClientEndedDuringACutRunsNoItems)
+TEST_F(InlineFailure, AJobThatItsClientEndedDuringADisconnectRunsNoItems)
 {
 	(void)b.submit("j", 2);
 	pass(300);
-	b.frozen = true;
-	dead.insert(b.writer);
+	b.paused = true;
+	lost_writers.insert(b.writer);
 	pass(8000);
 	(void)a.end("j");
 	pass(600);
 	ASSERT_FALSE(platform.has("batch-open/j"));
-	dead.clear();
-	b.frozen = false;
-	b.see_changes();
+	lost_writers.clear();
+	b.paused = false;
+	b.deliver_changes();
 	EXPECT_TRUE(b.items.empty());
 	pass(600);
 	EXPECT_TRUE(b.items.empty());
@@ -548,73 +548,73 @@
 }
 
 /*
- * The list of open jobs is read anew after a gap in its history, and the entry
- * of a job that this VM runs is missing: another VM took it over and closed it
- * between the two looks. No event says so.
+ * The open entries are listed again after a lost history, and the entry of a
+ * job that this VM runs is missing: another VM took it over and closed it in
+ * between. There is no deletion event.
  */
 TEST_F(InlineFailure, AJobThatIsMissingInANewListIsReadAgain)
 {
 	(void)b.submit("j", 2);
 	pass(300);
-	b.frozen = true;
-	dead.insert(b.writer);
+	b.paused = true;
+	lost_writers.insert(b.writer);
 	pass(8000);
 	a.finish_all("other");
 	pass(600);
 	ASSERT_FALSE(platform.has("batch-open/j"));
-	dead.clear();
-	b.frozen = false;
-	b.lose_history();
-	b.settle();
+	lost_writers.clear();
+	b.paused = false;
+	b.drop_history();
+	b.run_actions();
 	pass(50);
 	EXPECT_TRUE(b.items.empty());
 	EXPECT_EQ("2 0: j-0=other j-1=other", b.answer(b.read("j", 0)).body);
 }
 
 /*
- * A write of results takes effect, and its answer is held up by a cut. Readers
- * at other VMs see the results in the store; the VM that wrote them must not
- * go on telling that they are not there.
+ * A write of results takes effect, and its answer is delayed by a disconnect.
+ * Readers at other VMs see the results in the store; the VM that wrote them
+ * must not report that they don't exist.
  */
-TEST_F(InlineFailure, AVmWithAWriteUnderWayDoesNotSayWhatIsShown)
+TEST_F(InlineFailure, AVmWithAPendingWriteDoesNotReportResults)
 {
 	jj_job_standing_t states[4];
-	int asked = 0;
+	int executed = 0;
 
 	(void)a.submit("j", 2);
 	pass(300);
-	a.holds = [&](const jj_platform_call_t &call) {
+	a.defers = [&](const jj_platform_call_t &call) {
 		if (call.op != JJ_PLATFORM_CREATE ||
 		    strncmp(call.key, "batch-out/", 10) != 0)
 			return false;
 		jj_platform_result_t lost = platform.execute(call);
 
 		jj_platform_result_clear(&lost);
-		asked++;
+		executed++;
 		return true;
 	};
 	EXPECT_TRUE(a.finish("j-1", "eins"));
 	pass(800);
-	ASSERT_EQ(1, asked);
+	ASSERT_EQ(1, executed);
 	EXPECT_EQ(0U, jj_inline_list_states(a.jobs, states, 4));
 	EXPECT_EQ("2 0: j-1=eins", a.answer(a.read("j", 0)).body);
 	EXPECT_EQ("2 0: j-1=eins", b.answer(b.read("j", 0)).body);
 }
 
 /*
- * While VMs do not hear each other, any of them may take a job of another one
- * and show more of it. One whose watch stands still must not answer from what
- * it knew, but ask.
+ * While VMs receive no heartbeats of each other, any of them may take a job of
+ * another one over and publish more results. One whose watch is stalled must
+ * not answer from memory, but check first.
  */
-TEST_F(InlineFailure, AVmThatMissesOthersAsksBeforeItAnswers)
+TEST_F(InlineFailure, AVmThatMissesHeartbeatsChecksBeforeItAnswers)
 {
 	jj_job_standing_t states[4];
 
 	(void)b.submit("j", 2);
 	pass(300);
-	cut = true;
-	b.blind = true;
-	dead.insert(b.writer);
+	heartbeats_missing = true;
+	b.watch_stalled = true;
+	lost_writers.insert(b.writer);
 	pass(8000);
 	EXPECT_TRUE(a.finish("j-1", "neu"));
 	pass(600);
@@ -635,11 +635,11 @@
 };
 
 /*
- * Answers of the platform are lost or refused while a job is taken. A write
- * whose answer was lost is known again by its own entry; "not accepted" is
- * said only when nothing of the job can be stored.
+ * Answers of the platform are lost or refused during a submission. A write
+ * whose answer was lost is recognised by its own entry; 503 is answered only
+ * when nothing of the job can be stored.
  */
-TEST_P(InlineSubmit, TellsTheTruth)
+TEST_P(InlineSubmit, AnswerMatchesWhatIsStored)
 {
 	platform.next_writes = GetParam().writes;
 	uint64_t submit = a.submit("j", 1);
@@ -664,7 +664,7 @@
 	LostCase{"Silent", {Fault::kNoAnswer, Fault::kNoAnswer}, 504, false}),
     [](const auto &info) { return std::string(info.param.name); });
 
-/* The same job arrives at two VMs: both accept it, one of them runs it. */
+/* The same job is submitted at two VMs: both accept it, one of them runs it. */
 TEST_F(InlineFailure, AResendElsewhereIsNotRunTwice)
 {
 	EXPECT_EQ(202, a.answer(a.submit("j", 1)).status);
@@ -674,41 +674,44 @@
 	EXPECT_TRUE(b.items.empty());
 	a.finish_all("x");
 	pass(3000);
-	EXPECT_EQ(202, b.answer(b.submit("j", 1)).status) << "long ended";
+	EXPECT_EQ(202, b.answer(b.submit("j", 1)).status)
+	    << "the job ended long ago";
 	pass(3000);
 	EXPECT_TRUE(b.items.empty());
 	EXPECT_FALSE(platform.has("batch-open/j"));
 	EXPECT_EQ(1U, stored("j").size());
 }
 
-/* Guards against jobs without an owner while the VM that is to take them over
- * does not get to it. */
-TEST_F(InlineFailure, AnotherVmStandsInForTheChosenOne)
+/* Another VM takes a job over when the first in rank does not get to it. */
+TEST_F(InlineFailure, AnotherVmTakesOverWhenTheFirstInRankDoesNot)
 {
 	InlineVm &c = add_vm("c");
 
 	pass(100);
 	(void)b.submit("j", 2);
 	pass(300);
-	a.blind = true;
-	a.holds = [](const jj_platform_call_t &) { return true; };
-	b.frozen = true;
-	dead.insert(b.writer);
+	a.watch_stalled = true;
+	a.defers = [](const jj_platform_call_t &) { return true; };
+	b.paused = true;
+	lost_writers.insert(b.writer);
 	pass(3000);
-	EXPECT_EQ(0U, c.items.size()) << "the first choice has its time";
+	EXPECT_EQ(0U, c.items.size())
+	    << "before the time of the first in rank is over";
 	pass(3000);
 	EXPECT_EQ(2U, c.items.size());
 	EXPECT_EQ(0U, a.items.size());
 }
 
-/* A stop hands a job over with what is shown; the next VM runs the rest. */
+/*
+ * A stopping VM hands a job over with its results; the next VM runs the rest.
+ */
 TEST_F(InlineFailure, AStopHandsJobsOver)
 {
 	(void)b.submit("j", 2);
 	pass(300);
 	EXPECT_TRUE(b.finish("j-0", "null"));
 	jj_inline_leave(b.jobs, now, &b.out);
-	b.settle();
+	b.run_actions();
 	pass(1000);
 	EXPECT_TRUE(jj_inline_is_idle(b.jobs));
 	EXPECT_TRUE(b.items.empty());
@@ -719,25 +722,25 @@
 }
 
 /*
- * A VM took a job over and was stopped before it had read it. While it let the
- * job go it told a reader that the job of eight items has none.
+ * A VM took a job over and was stopped before it had read it. While it released
+ * the job, it answered a reader that the job of eight items has none.
  */
-TEST_F(InlineFailure, AJobThatIsNotLoadedIsNotSaidToBeEmpty)
+TEST_F(InlineFailure, AJobThatIsNotLoadedIsNotReportedAsEmpty)
 {
 	(void)b.submit("j", 2);
 	pass(300);
-	b.frozen = true;
-	dead.insert(b.writer);
-	a.holds = [](const jj_platform_call_t &call) {
+	b.paused = true;
+	lost_writers.insert(b.writer);
+	a.defers = [](const jj_platform_call_t &call) {
 		return call.op == JJ_PLATFORM_GET &&
 		    strcmp(call.key, "batch-jobs/j") == 0;
 	};
 	pass(8000);
-	a.holds = [](const jj_platform_call_t &call) {
+	a.defers = [](const jj_platform_call_t &call) {
 		return call.op == JJ_PLATFORM_UPDATE;
 	};
 	jj_inline_leave(a.jobs, now, &a.out);
-	a.settle();
+	a.run_actions();
 	jj_job_standing_t states[4];
 	EXPECT_EQ(0U, jj_inline_list_states(a.jobs, states, 4));
 	uint64_t read = a.read("j", 0);
@@ -745,8 +748,8 @@
 	EXPECT_NE(0U, a.answer(read).body.find("0 0:")) << a.answer(read).body;
 }
 
-/* What the VM that runs a job says spares the platform the reads of others. */
-TEST_F(Inline, AReaderElsewhereAsksOnlyWhenThereIsNews)
+/* Reports of the VM that runs a job save reads from the platform. */
+TEST_F(Inline, AReaderElsewhereQueriesOnlyForNewResults)
 {
 	const jj_name_t nobody = {};
 	jj_job_standing_t states[4];
@@ -766,36 +769,36 @@
 	EXPECT_EQ(1U, states[0].shown);
 	EXPECT_EQ(10U, states[0].tokens);
 	jj_inline_take_states(b.jobs, &nobody, states, 1, now, now, &b.out);
-	b.settle();
+	b.run_actions();
 	EXPECT_EQ("2 0: j-1=eins", b.answer(waiting).body);
 }
 
 /*
- * A VM that was cut off and has lost its job goes on saying how much of it was
- * shown when it had it. A reader that saw more must not be told otherwise, and
- * what was heard long ago is no answer at all.
+ * A disconnected VM that has lost its job keeps reporting the number of results
+ * from before. A reader that saw more must not get less, and an outdated report
+ * must not be used at all.
  */
-TEST_F(InlineFailure, AnOldWordDoesNotHideWhatIsShown)
+TEST_F(InlineFailure, AnOldReportDoesNotHideResults)
 {
 	const jj_name_t nobody = {};
 	jj_job_standing_t states[4];
-	jj_job_standing_t old;
+	jj_job_standing_t old_state;
 
 	(void)a.submit("j", 2);
 	pass(300);
 	(void)jj_inline_list_states(a.jobs, states, 4);
-	old = states[0];
+	old_state = states[0];
 	EXPECT_TRUE(a.finish("j-1", "eins"));
 	pass(600);
 	(void)jj_inline_list_states(a.jobs, states, 4);
 	jj_inline_take_states(b.jobs, &nobody, states, 1, now, now, &b.out);
-	jj_inline_take_states(b.jobs, &nobody, &old, 1, now, now, &b.out);
+	jj_inline_take_states(b.jobs, &nobody, &old_state, 1, now, now, &b.out);
 	EXPECT_EQ("2 0: j-1=eins", b.answer(b.read("j", 0)).body);
 	now += 900;
 	int reads = platform.reads;
 	EXPECT_EQ("2 1:", b.answer(b.read("j", 1)).body);
 	EXPECT_LT(reads, platform.reads);
-	/* It lay in a queue for long: as good as not heard. */
+	/* Delayed in a queue until it is outdated: not used. */
 	reads = platform.reads;
 	jj_inline_take_states(
 	    b.jobs, &nobody, states, 1, now - 900, now, &b.out);
@@ -803,8 +806,10 @@
 	EXPECT_LT(reads, platform.reads);
 }
 
-/* Results that are shown come from the VM that runs the job, without a call,
- * while the platform is away too. */
+/*
+ * Published results are read from the VM that runs the job, without a platform
+ * call, also during an outage of the platform.
+ */
 TEST_F(Inline, AReaderElsewhereGetsResultsFromTheVmThatRunsTheJob)
 {
 	(void)a.submit("j", 3);
@@ -812,7 +817,7 @@
 	EXPECT_TRUE(a.finish("j-1", "eins"));
 	EXPECT_TRUE(a.finish("j-2", "zwei"));
 	pass(600);
-	a.tell_states(b);
+	a.report_states(b);
 	int reads = platform.reads;
 	uint64_t first = b.read("j", 0);
 	uint64_t second = b.read("j", 1);
@@ -827,8 +832,9 @@
 }
 
 /*
- * The VM that runs a job is asked for results and does not answer: readers are
- * not kept waiting, the platform is asked. An answer that was for a read of another job is nobody's.
+ * The VM that runs a job is queried for results and does not answer: the
+ * platform is queried instead, without a long wait. An answer to a read of
+ * another job is ignored.
  */
 TEST_F(InlineFailure, AReadGoesToThePlatformWhenItsVmDoesNotAnswer)
 {
@@ -838,16 +844,16 @@
 	EXPECT_TRUE(a.finish("j-1", "eins"));
 	EXPECT_TRUE(a.finish("k-0", "null"));
 	pass(600);
-	a.tell_states(b);
-	uint64_t silent = b.read("j", 0);
+	a.report_states(b);
+	uint64_t unanswered = b.read("j", 0);
 	pass(300);
-	EXPECT_EQ("2 0: j-1=eins", b.answer(silent).body);
+	EXPECT_EQ("2 0: j-1=eins", b.answer(unanswered).body);
 
-	/* What was asked then is not delivered any more. */
+	/* The first query is never delivered. */
 	for (jj_action_t *action : b.sent)
 		jj_action_free(action);
 	b.sent.clear();
-	a.tell_states(b);
+	a.report_states(b);
 	uint64_t read = b.read("j", 0);
 	ASSERT_EQ(1U, b.sent.size());
 	jj_message_t *message = b.sent.front()->body.send.message;
@@ -862,13 +868,14 @@
 
 /*
  * After an outage of the platform a job was submitted at two VMs at once. One
- * created the job, the other one the entry, ran it, was told of its end and
- * deleted the entry. Then the first one's entry was created at last: it held
- * the job for new, looked at no results and ran it for seconds after its end.
+ * created the job object, the other one the entry; that one ran the job, was
+ * notified of its end and deleted the entry. Then the first one's entry was
+ * created at last: that VM took the job for new, did not read its results and
+ * ran it for seconds after its end.
  */
 TEST_F(InlineFailure, AJobThatEndedBeforeItsEntryWasCreatedIsNotRun)
 {
-	a.holds = [](const jj_platform_call_t &call) {
+	a.defers = [](const jj_platform_call_t &call) {
 		return std::string(call.key).find("batch-open/") == 0;
 	};
 	uint64_t first = a.submit("j", 2);
@@ -880,7 +887,7 @@
 	EXPECT_EQ(200, b.answer(b.end("j")).status);
 	pass(300);
 	ASSERT_FALSE(platform.has("batch-open/j"));
-	a.holds = nullptr;
+	a.defers = nullptr;
 	a.release();
 	EXPECT_EQ(202, a.answer(first).status);
 	EXPECT_EQ(0U, a.items.size());
@@ -889,15 +896,17 @@
 	EXPECT_FALSE(platform.has("batch-open/j"));
 }
 
-/* A VM that was asked is silent and the platform is away: the read waits for
- * its next try, and nothing is due all the while. */
-TEST_F(InlineFailure, AReadThatWaitsForThePlatformKeepsNobodyBusy)
+/*
+ * A queried VM does not answer and the platform is down: the read waits for its
+ * next attempt, and nothing is due meanwhile.
+ */
+TEST_F(InlineFailure, AReadThatWaitsForThePlatformDoesNotSpin)
 {
 	(void)a.submit("j", 2);
 	pass(300);
 	EXPECT_TRUE(a.finish("j-1", "eins"));
 	pass(600);
-	a.tell_states(b);
+	a.report_states(b);
 	uint64_t read = b.read("j", 0);
 	platform.fault = Fault::kRefuse;
 	pass(300);
@@ -908,32 +917,34 @@
 	EXPECT_EQ("2 0: j-1=eins", b.answer(read).body);
 }
 
-/* Results whose write is under way are not told: they may not stand. */
-TEST_F(InlineFailure, WhatIsBeingWrittenIsNotToldToAnotherVm)
+/* Results whose write is pending are not sent: the write may fail. */
+TEST_F(InlineFailure, UnconfirmedResultsAreNotSentToAnotherVm)
 {
 	(void)a.submit("j", 2);
 	pass(300);
 	EXPECT_TRUE(a.finish("j-1", "eins"));
 	pass(600);
-	a.tell_states(b);
-	a.holds = [](const jj_platform_call_t &call) {
+	a.report_states(b);
+	a.defers = [](const jj_platform_call_t &call) {
 		return call.op == JJ_PLATFORM_UPDATE &&
 		    std::string(call.key).find("batch-out/") == 0;
 	};
 	EXPECT_TRUE(a.finish("j-0", "null"));
-	a.settle();
+	a.run_actions();
 	uint64_t read = b.read("j", 0);
 	uint64_t beyond = b.read("j", 1);
 	b.deliver(a);
 	a.deliver(b);
 	EXPECT_EQ("2 0: j-1=eins", b.answer(read).body);
 	EXPECT_EQ("2 1:", b.answer(beyond).body);
-	a.holds = nullptr;
+	a.defers = nullptr;
 	a.release();
 	pass(100);
 }
 
-/* While the platform is away readers are told to come back, never "no job". */
+/*
+ * During an outage of the platform reads are refused with 503, never with 404.
+ */
 TEST_F(InlineFailure, AReadWithoutThePlatformIsRefused)
 {
 	(void)a.submit("j", 1);
--- a/tests/core/inline_watchdog_test.cc
+++ b/tests/core/inline_watchdog_test.cc
@@ -1,6 +1,6 @@
 /**
  * @file inline_watchdog_test.cc
- * @brief Jobs that make no progress are reported, with what they wait for.
+ * @brief Jobs without progress are reported, with what they wait for.
  */
 #include "tests/core/inline_world.h"
 
@@ -17,7 +17,7 @@
 	{
 		pass(100);
 	}
-	/** How many lines of that name hold that text. */
+	/** Number of log lines with that event name that contain the text. */
 	static int
 	lines(const InlineVm &vm, const std::string &name,
 	    const std::string &text = "")
@@ -31,7 +31,7 @@
 	}
 };
 
-TEST_F(InlineWatchdog, SaysNothingOfAJobThatRuns)
+TEST_F(InlineWatchdog, ReportsNothingForARunningJob)
 {
 	(void)b.submit("j", 2);
 	pass(10000);
@@ -46,11 +46,12 @@
 struct WaitCase {
 	const char *name;
 	const char *expected;
-	bool full; /**< no server has a place */
+	bool servers_full; /**< no server has free capacity */
 	bool routed;
 	bool finished; /**< its items end */
-	bool writes; /**< its writes are answered */
-	bool sure; /**< all VMs are heard, or the list can be looked at */
+	bool writes; /**< writes of results are answered */
+	/** Heartbeats of all VMs arrive, or the list can be checked. */
+	bool verified;
 };
 
 class InlineWait : public InlineWatchdog,
@@ -58,21 +59,21 @@
 {
 };
 
-/* Guards against jobs that stand still without a line that says why. */
+/* Each stalled job must be logged, with what it waits for. */
 TEST_P(InlineWait, IsNamed)
 {
 	const WaitCase &wait = GetParam();
 
-	full = wait.full;
+	servers_full = wait.servers_full;
 	if (!wait.routed)
 		route.host = const_cast<char *>("altro.example");
 	(void)b.submit("j", 2);
 	pass(200);
 	if (!wait.writes)
-		b.holds = [](const jj_platform_call_t &) { return true; };
-	if (!wait.sure) {
-		dead.insert(a.writer);
-		b.holds_checks = true;
+		b.defers = [](const jj_platform_call_t &) { return true; };
+	if (!wait.verified) {
+		lost_writers.insert(a.writer);
+		b.defers_checks = true;
 		pass(1000);
 	}
 	if (wait.finished)
@@ -102,7 +103,7 @@
 	const char *name;
 	const char *expected;
 	bool chosen;
-	bool current; /**< its watch works */
+	bool current; /**< its copy of the list is current */
 };
 
 class InlineBlock : public InlineWatchdog,
@@ -110,7 +111,7 @@
 {
 };
 
-/* Guards against entries without an owner that no line speaks of. */
+/* Each entry without a live owner must be logged, with the reason. */
 TEST_P(InlineBlock, IsNamed)
 {
 	const BlockCase &block = GetParam();
@@ -122,16 +123,16 @@
 	(void)b.submit("j", 2);
 	pass(200);
 	for (InlineVm *other : {&a, &c, &d})
-		other->holds = [](const jj_platform_call_t &call) {
+		other->defers = [](const jj_platform_call_t &call) {
 			return call.op == JJ_PLATFORM_UPDATE;
 		};
 	if (!block.current) {
-		a.lose_watch();
-		a.blind = true;
-		a.holds_checks = true;
+		a.fail_watch();
+		a.watch_stalled = true;
+		a.defers_checks = true;
 	}
-	b.frozen = true;
-	dead.insert(b.writer);
+	b.paused = true;
+	lost_writers.insert(b.writer);
 	pass(6000);
 	EXPECT_GE(lines(vm, "job_ownerless", block.expected), 2)
 	    << (vm.log.empty() ? "" : vm.log.back());
--- a/tests/core/inline_world.h
+++ b/tests/core/inline_world.h
@@ -1,6 +1,7 @@
 /**
  * @file inline_world.h
- * @brief VMs that run inline jobs over one platform in memory, step by step.
+ * @brief Simulation for tests: VMs that run inline jobs on one in-memory
+ * platform, with a simulated clock.
  */
 #ifndef JJ_TESTS_CORE_INLINE_WORLD_H
 #define JJ_TESTS_CORE_INLINE_WORLD_H
@@ -30,24 +31,26 @@
 
 class InlineVm;
 
-/** All VMs, the platform and the time. */
+/** The simulated VMs, their platform and the clock. */
 class InlineWorld : public ::testing::Test
 {
       public:
 	FakePlatform platform;
 	jj_ms_t now = 1000;
-	std::set<std::string> dead; /**< writers that others hold for lost */
+	/** Processes that other VMs consider lost. */
+	std::set<std::string> lost_writers;
 	std::vector<std::unique_ptr<InlineVm>> vms;
 	jj_route_t route = {};
-	bool cut = false; /**< VMs do not hear each other */
-	bool full = false; /**< items wait for a server */
+	/** No VM receives heartbeats of the others. */
+	bool heartbeats_missing = false;
+	bool servers_full = false; /**< items wait for a server */
 
 	InlineWorld();
 	~InlineWorld() override;
 	InlineVm &add_vm(const std::string &name);
-	/** Lets time pass; all VMs tick and their calls are carried out. */
+	/** Advances the clock; all VMs tick and their calls are executed. */
 	void pass(jj_ms_t ms);
-	/** Results of a job as stored, in their order. */
+	/** Ids of a job's stored results, in their order. */
 	std::vector<std::string> stored(const std::string &id) const;
 };
 
@@ -61,19 +64,19 @@
 	uint64_t last_operation = 0;
 	uint64_t last_request = 0;
 	std::map<uint64_t, InlineAnswer> answers;
-	/** Items that want a server, by request. */
+	/** Items queued for a server, by request. */
 	std::map<uint64_t, std::string> items;
-	std::vector<std::string> told_ended;
-	std::vector<std::string> log; /**< lines: "NAME DETAIL" */
-	std::list<jj_action_t *> sent; /**< messages, not delivered yet */
-	/** A call that is kept back instead of carried out. */
-	std::function<bool(const jj_platform_call_t &)> holds;
-	std::list<jj_action_t *> held;
-	jj_action_t *watch = nullptr; /**< under way */
-	bool frozen = false;
-	jj_ms_t reached_ms = 0; /**< the platform answers again since */
-	bool blind = false; /**< its watch brings nothing */
-	bool holds_checks = false; /**< looks at the list are kept back */
+	std::vector<std::string> ended_notices;
+	std::vector<std::string> log; /**< events: "NAME DETAIL" */
+	std::list<jj_action_t *> sent; /**< messages not delivered yet */
+	/** True for calls that are deferred instead of executed. */
+	std::function<bool(const jj_platform_call_t &)> defers;
+	std::list<jj_action_t *> deferred;
+	jj_action_t *watch = nullptr; /**< pending watch */
+	bool paused = false;
+	jj_ms_t reached_ms = 0; /**< see jj_inline_port_t */
+	bool watch_stalled = false; /**< its watch returns no changes */
+	bool defers_checks = false; /**< checks of the list are deferred */
 
 	InlineVm(InlineWorld &in, const std::string &name);
 	~InlineVm();
@@ -83,24 +86,27 @@
 	read(const std::string &id, uint32_t after, jj_ms_t wait_ms = 0);
 	uint64_t read_item(const std::string &id, const std::string &item);
 	uint64_t end(const std::string &id);
-	/** Ends the run of an item that this VM has begun. */
+	/** Ends the run of an item that this VM has started. */
 	bool finish(const std::string &item, const std::string &text,
 	    jj_inline_end_t how = JJ_INLINE_DONE);
 	void finish_all(const std::string &text);
-	/** Carries out what was asked for; a watch waits. */
-	void settle();
-	/** Carries the kept calls out now. */
+	/** Executes the requested actions; a watch stays pending. */
+	void run_actions();
+	/** Executes the deferred calls. */
 	void release();
-	/** What this VM runs is told to the other one. */
-	void tell_states(InlineVm &to);
-	/** Messages of this VM come to the other one, whomever they are for. */
+	/** Reports the jobs that this VM runs to another VM. */
+	void report_states(InlineVm &to);
+	/**
+	 * Delivers this VM's messages to another VM, whatever their
+	 * destination.
+	 */
 	void deliver(InlineVm &to);
-	/** The watch brings what has changed. */
-	void see_changes();
-	/** The watch ends without an answer. */
-	void lose_watch();
-	/** The watch ends as the history that it follows is gone. */
-	void lose_history();
+	/** Ends the pending watch with what has changed. */
+	void deliver_changes();
+	/** Ends the pending watch without an answer. */
+	void fail_watch();
+	/** Ends the pending watch with a lost history. */
+	void drop_history();
 	InlineAnswer &
 	answer(uint64_t operation)
 	{
@@ -109,11 +115,11 @@
 
       private:
 	void end_watch(jj_platform_outcome_t outcome);
-	void bring(jj_action_t *call);
+	void answer_watch(jj_action_t *call);
 	void take(const jj_platform_result_t &result);
 	void take_other(jj_action_t *action);
 	uint64_t
-	next()
+	next_operation()
 	{
 		return ++last_operation;
 	}
@@ -149,12 +155,12 @@
 {
 	for (jj_ms_t until = now + ms; now < until; now += 50)
 		for (auto &vm : vms) {
-			if (vm->frozen)
+			if (vm->paused)
 				continue;
-			if (!vm->blind)
-				vm->see_changes();
+			if (!vm->watch_stalled)
+				vm->deliver_changes();
 			jj_inline_tick(vm->jobs, now, &vm->out);
-			vm->settle();
+			vm->run_actions();
 		}
 }
 
@@ -192,10 +198,10 @@
 inline bool
 is_live(void *ctx, const char *writer)
 {
-	return vm(ctx)->world.dead.count(writer) == 0;
+	return vm(ctx)->world.lost_writers.count(writer) == 0;
 }
 
-/** VMs that are not lost take jobs over in their order. */
+/** VMs that are not lost take jobs over in the order of their creation. */
 inline uint32_t
 rank(void *ctx, const char *)
 {
@@ -204,16 +210,17 @@
 	for (auto &other : vm(ctx)->world.vms) {
 		if (other.get() == vm(ctx))
 			break;
-		before += vm(ctx)->world.dead.count(other->writer) == 0;
+		before += vm(ctx)->world.lost_writers.count(other->writer) == 0;
 	}
 	return before;
 }
 
-/** A VM misses those that others hold for lost, if it is none of them. */
+/** Heartbeats are missing while any VM is lost, or by order of the test. */
 inline bool
 misses_some(void *ctx)
 {
-	return vm(ctx)->world.cut || vm(ctx)->world.dead.size() > 0;
+	return vm(ctx)->world.heartbeats_missing ||
+	    vm(ctx)->world.lost_writers.size() > 0;
 }
 
 inline jj_ms_t
@@ -225,7 +232,8 @@
 inline bool
 hears_others(void *ctx)
 {
-	return vm(ctx)->world.vms.size() > vm(ctx)->world.dead.size() + 1;
+	return vm(ctx)->world.vms.size() >
+	    vm(ctx)->world.lost_writers.size() + 1;
 }
 
 inline const jj_route_t *
@@ -262,7 +270,8 @@
 is_item_sent(void *ctx, uint64_t request, uint32_t *attempts)
 {
 	*attempts = 1;
-	return vm(ctx)->items.count(request) == 1 && !vm(ctx)->world.full;
+	return vm(ctx)->items.count(request) == 1 &&
+	    !vm(ctx)->world.servers_full;
 }
 
 /** "TOTAL FROM: ID=TEXT ID!" */
@@ -296,7 +305,7 @@
 inline void
 tell_ended(void *ctx, const char *writer, const char *id)
 {
-	vm(ctx)->told_ended.push_back(std::string(writer) + " " + id);
+	vm(ctx)->ended_notices.push_back(std::string(writer) + " " + id);
 }
 
 } // namespace inline_port
@@ -336,7 +345,7 @@
 inline InlineVm::~InlineVm()
 {
 	jj_inline_destroy(jobs);
-	for (jj_action_t *action : held)
+	for (jj_action_t *action : deferred)
 		jj_action_free(action);
 	for (jj_action_t *action : sent)
 		jj_action_free(action);
@@ -349,7 +358,7 @@
 InlineVm::submit(const std::string &id, int count, uint64_t tokens, size_t body)
 {
 	jj_inline_job_t job = {};
-	uint64_t operation = next();
+	uint64_t operation = next_operation();
 	std::string text(body, 'b');
 
 	snprintf(job.id, sizeof(job.id), "%s", id.c_str());
@@ -367,39 +376,39 @@
 		job.tokens += tokens;
 	}
 	jj_inline_submit(jobs, operation, &job, &world.route, world.now, &out);
-	settle();
+	run_actions();
 	return operation;
 }
 
 inline uint64_t
 InlineVm::read(const std::string &id, uint32_t after, jj_ms_t wait_ms)
 {
-	uint64_t operation = next();
+	uint64_t operation = next_operation();
 
 	jj_inline_read(
 	    jobs, operation, id.c_str(), after, wait_ms, world.now, &out);
-	settle();
+	run_actions();
 	return operation;
 }
 
 inline uint64_t
 InlineVm::read_item(const std::string &id, const std::string &item)
 {
-	uint64_t operation = next();
+	uint64_t operation = next_operation();
 
 	jj_inline_read_item(
 	    jobs, operation, id.c_str(), item.c_str(), world.now, &out);
-	settle();
+	run_actions();
 	return operation;
 }
 
 inline uint64_t
 InlineVm::end(const std::string &id)
 {
-	uint64_t operation = next();
+	uint64_t operation = next_operation();
 
 	jj_inline_end(jobs, operation, id.c_str(), world.now, &out);
-	settle();
+	run_actions();
 	return operation;
 }
 
@@ -416,7 +425,7 @@
 		items.erase(request);
 		jj_inline_end_item(jobs, request, how, &bytes, world.now, &out);
 		jj_bytes_free(&bytes);
-		settle();
+		run_actions();
 		return true;
 	}
 	return false;
@@ -425,14 +434,14 @@
 inline void
 InlineVm::finish_all(const std::string &text)
 {
-	std::map<uint64_t, std::string> begun = items;
+	std::map<uint64_t, std::string> started = items;
 
-	for (auto &entry : begun)
+	for (auto &entry : started)
 		(void)finish(entry.second, text);
 }
 
 inline void
-InlineVm::settle()
+InlineVm::run_actions()
 {
 	jj_action_t *action;
 
@@ -448,13 +457,13 @@
 			continue;
 		}
 		if (action->body.platform.op == JJ_PLATFORM_WATCH &&
-		    !holds_checks) {
-			bring(action);
+		    !defers_checks) {
+			answer_watch(action);
 			continue;
 		}
 		if (action->body.platform.op == JJ_PLATFORM_WATCH ||
-		    (holds && holds(action->body.platform))) {
-			held.push_back(action);
+		    (defers && defers(action->body.platform))) {
+			deferred.push_back(action);
 			continue;
 		}
 		jj_platform_result_t result =
@@ -468,12 +477,12 @@
 inline void
 InlineVm::release()
 {
-	std::list<jj_action_t *> late;
+	std::list<jj_action_t *> calls;
 
-	late.swap(held);
-	for (jj_action_t *action : late) {
+	calls.swap(deferred);
+	for (jj_action_t *action : calls) {
 		if (action->body.platform.op == JJ_PLATFORM_WATCH) {
-			bring(action);
+			answer_watch(action);
 			continue;
 		}
 		jj_platform_result_t result =
@@ -482,12 +491,12 @@
 		take(result);
 		jj_platform_result_clear(&result);
 	}
-	settle();
+	run_actions();
 }
 
-/** Deleted entries come as well: what the VM may know and is not there. */
+/** Includes deletions, of all entries that the VM may know. */
 inline void
-InlineVm::see_changes()
+InlineVm::deliver_changes()
 {
 	jj_action_t *waiting = watch;
 
@@ -495,18 +504,18 @@
 	    waiting->body.platform.version >= world.platform.revision)
 		return;
 	watch = nullptr;
-	bring(waiting);
-	settle();
+	answer_watch(waiting);
+	run_actions();
 }
 
 inline void
-InlineVm::lose_watch()
+InlineVm::fail_watch()
 {
 	end_watch(JJ_PLATFORM_UNKNOWN);
 }
 
 inline void
-InlineVm::lose_history()
+InlineVm::drop_history()
 {
 	end_watch(JJ_PLATFORM_GAP);
 }
@@ -526,9 +535,9 @@
 	take(result);
 }
 
-/** What has changed since the call's version; the call is freed. */
+/** Answers the call with what has changed since its version, and frees it. */
 inline void
-InlineVm::bring(jj_action_t *call)
+InlineVm::answer_watch(jj_action_t *call)
 {
 	std::vector<jj_platform_item_t> changed;
 	jj_platform_result_t result = {};
@@ -575,7 +584,7 @@
 }
 
 inline void
-InlineVm::tell_states(InlineVm &to)
+InlineVm::report_states(InlineVm &to)
 {
 	jj_job_standing_t states[8];
 	jj_name_t vm = {};
@@ -584,7 +593,7 @@
 	jj_name_set(&vm, writer.substr(0, writer.find('/')).c_str());
 	jj_inline_take_states(
 	    to.jobs, &vm, states, count, world.now, world.now, &to.out);
-	to.settle();
+	to.run_actions();
 }
 
 inline void
@@ -605,7 +614,7 @@
 			    to.jobs, message, world.now, &to.out);
 		jj_action_free(action);
 	}
-	to.settle();
+	to.run_actions();
 }
 
 inline void
--- a/tests/core/lease_test.cc
+++ b/tests/core/lease_test.cc
@@ -1,6 +1,6 @@
 /**
  * @file lease_test.cc
- * @brief One holder at a time, whatever is late, lost, frozen or down.
+ * @brief One holder at a time, whatever is late, lost, paused or down.
  */
 #include <string>
 
@@ -15,7 +15,7 @@
 namespace
 {
 
-/** One VM's lease whose calls are carried out and answered by hand. */
+/** One VM's lease, whose calls are executed and answered by hand. */
 class Holder
 {
       public:
@@ -49,38 +49,38 @@
 	{
 		jj_lease_tick(lease, now, &out);
 	}
-	/** Ticks, carries out all calls; answers so many, -1: all. */
+	/** Ticks and executes all calls; answers that many of them, -1: all. */
 	void
 	run(jj_ms_t now, int answers = -1)
 	{
 		tick(now);
-		while (carry_out() && answers != 0) {
+		while (execute_call() && answers != 0) {
 			deliver(now, false);
 			answers--;
 		}
 	}
-	/** The platform's end of a call; false when none waits. */
+	/** Executes a call at the platform; false when none is pending. */
 	bool
-	carry_out()
+	execute_call()
 	{
 		jj_action_t *action = FakePlatform::find_call(&out);
 
-		if (action == nullptr || carried)
+		if (action == nullptr || executed)
 			return false;
 		TAILQ_REMOVE(&out, action, link);
 		result = platform->execute(action->body.platform);
 		jj_action_free(action);
-		carried = true;
+		executed = true;
 		return true;
 	}
 	bool
 	deliver(jj_ms_t now, bool lose)
 	{
-		if (!carried)
+		if (!executed)
 			return false;
 		if (lose)
 			result.outcome = JJ_PLATFORM_UNKNOWN;
-		carried = false;
+		executed = false;
 		jj_lease_take_result(lease, &result, now, &out);
 		jj_platform_result_clear(&result);
 		return true;
@@ -95,7 +95,7 @@
 	jj_lease_t *lease;
 	jj_actions_t out;
 	jj_platform_result_t result = {};
-	bool carried = false;
+	bool executed = false;
 };
 
 class Lease : public ::testing::Test
@@ -132,16 +132,19 @@
 TEST_F(Lease, IsKeptByRenewal)
 {
 	begin();
-	EXPECT_TRUE(jj_lease_is_safe_unfenced(a.lease, now)) << "the first";
+	EXPECT_TRUE(jj_lease_is_safe_unfenced(a.lease, now))
+	    << "the first holder";
 	run(60000);
 	EXPECT_TRUE(a.held(now));
 	EXPECT_EQ(jj_lease_fence(a.lease), 1u);
 	EXPECT_LE(platform.writes, 33);
 }
 
-/* The holder is frozen past its lease and another takes over. It wakes and
- * still believes it holds the lease: both would give orders. */
-TEST_F(Lease, AFrozenHolderHasLostItWhenItWakes)
+/*
+ * The holder is paused past its lease and another VM takes over. If the first
+ * one resumed as the holder, both would send orders.
+ */
+TEST_F(Lease, APausedHolderHasLostItWhenItResumes)
 {
 	begin();
 	run(12000, false, true);
@@ -153,8 +156,10 @@
 	EXPECT_FALSE(a.held(now));
 }
 
-/* An order of the frozen holder is still under way when the other takes over.
- * A server that ignores fencing numbers would apply it after the new one's. */
+/*
+ * An order of the paused holder is still pending when another VM takes over. A
+ * server that ignores fencing numbers would apply it after the new one's.
+ */
 TEST_F(Lease, ASuccessorWaitsForServersThatIgnoreFences)
 {
 	begin();
@@ -167,9 +172,11 @@
 	EXPECT_TRUE(jj_lease_is_safe_unfenced(b.lease, now));
 }
 
-/* A renewal takes effect and its answer is lost, again and again: a conflict
- * with the own write must not be taken for another's. */
-TEST_F(Lease, LostAnswersDoNotLoseIt)
+/*
+ * Renewals take effect and their answers are lost, repeatedly: a conflict with
+ * its own write must not be taken for another VM's.
+ */
+TEST_F(Lease, LostAnswersDoNotLoseTheLease)
 {
 	begin();
 	for (int i = 0; i < 20; i++) {
@@ -232,21 +239,25 @@
 	EXPECT_EQ(jj_lease_next(a.lease), JJ_MS_NEVER);
 }
 
-/* Released, and wanted again before the answer has come: the release may be
- * in force already and another holder too. */
+/*
+ * Released, and wanted again before the answer arrives: the release may already
+ * be in effect, and another VM may hold the lease.
+ */
 TEST_F(Lease, ARecalledReleaseIsNoLease)
 {
 	begin();
 	a.want(false, now);
-	ASSERT_TRUE(a.carry_out());
+	ASSERT_TRUE(a.execute_call());
 	a.want(true, now);
 	EXPECT_FALSE(a.held(now));
 	run(4000);
 }
 
-/* All orders of up to eight events of two VMs: time passes, each ticks or is
- * frozen, its calls reach the platform late, answers come late or are lost,
- * the first one gives the lease back and wants it again. */
+/*
+ * All sequences of up to eight events of two VMs: time passes, a VM ticks or is
+ * paused, its calls reach the platform late, answers arrive late or are lost,
+ * the first VM releases the lease and wants it again.
+ */
 class Interleavings
 {
       public:
@@ -312,9 +323,9 @@
 		case TICK_B:
 			return tick(b, *now);
 		case CALL_A:
-			return a.carry_out();
+			return a.execute_call();
 		case CALL_B:
-			return b.carry_out();
+			return b.execute_call();
 		case ANSWER_A:
 			return a.deliver(*now, false);
 		case ANSWER_B:
@@ -332,7 +343,7 @@
 	static bool
 	tick(Holder &holder, jj_ms_t now)
 	{
-		bool waiting = holder.carried ||
+		bool waiting = holder.executed ||
 		    FakePlatform::find_call(&holder.out) != nullptr;
 
 		holder.tick(now);
@@ -348,7 +359,7 @@
 			return;
 		for (char event : path)
 			story += std::to_string((int)event) + " ";
-		ADD_FAILURE() << "both hold it after " << story;
+		ADD_FAILURE() << "both hold the lease after " << story;
 	}
 
 	bool answered = true; /**< a's first write, before all events */
--- a/tests/core/mirror_test.cc
+++ b/tests/core/mirror_test.cc
@@ -1,6 +1,6 @@
 /**
  * @file mirror_test.cc
- * @brief A table kept up to date by list and watch, or by a neighbour's word.
+ * @brief A table kept up to date by list and watch, or by relayed polls.
  */
 #include <map>
 #include <string>
@@ -14,7 +14,7 @@
 namespace
 {
 
-/** A mirror and the table that it keeps. */
+/** A mirror and its table. */
 class Mirror : public ::testing::Test
 {
       protected:
@@ -70,11 +70,13 @@
 	{
 		self(ctx)->relayed++;
 	}
-	/** The call that a tick starts, by its name, with its argument. */
+	/**
+	 * The call that a tick starts, as "list AFTER" or "watch SINCE WAIT".
+	 */
 	std::string
 	tick(jj_ms_t ms)
 	{
-		std::string said;
+		std::string call_text;
 
 		now += ms;
 		jj_mirror_tick(&mirror, now, &out);
@@ -83,21 +85,21 @@
 			return "";
 		const jj_platform_call_t &call = action->body.platform;
 		token = call.token;
-		said = call.op == JJ_PLATFORM_LIST
+		call_text = call.op == JJ_PLATFORM_LIST
 		    ? std::string("list ") + call.after
 		    : "watch " + std::to_string(call.version) + " " +
 			std::to_string(call.wait_ms);
 		jj_actions_clear(&out);
-		return said;
+		return call_text;
 	}
 	static jj_platform_item_t
-	item(const char *key, uint64_t version, bool gone = false)
+	item(const char *key, uint64_t version, bool deletion = false)
 	{
 		jj_platform_item_t made = {};
 
 		snprintf(made.key, sizeof(made.key), "%s", key);
 		made.version = version;
-		made.deleted = gone;
+		made.deleted = deletion;
 		return made;
 	}
 	void
@@ -116,7 +118,7 @@
 		result.more = more;
 		EXPECT_TRUE(jj_mirror_take_result(&mirror, &result, now));
 	}
-	/** A poll beside the mirror's own is answered. */
+	/** Delivers the result of a watch call that another module sent. */
 	void
 	check(jj_platform_outcome_t outcome, uint64_t version,
 	    std::vector<jj_platform_item_t> items = {})
@@ -151,17 +153,17 @@
 	answer(JJ_PLATFORM_LIST, JJ_PLATFORM_OK, 60, {item("s/b", 55)});
 	EXPECT_EQ(2U, table.size());
 	EXPECT_EQ("watch 50 20000", tick(0))
-	    << "from the first page on: what changed since is seen";
+	    << "from the first page on, to see what changed since";
 	answer(JJ_PLATFORM_WATCH, JJ_PLATFORM_OK, 70,
 	    {item("s/a", 65, true), item("s/c", 70)});
 	EXPECT_EQ(0U, table.count("s/a"));
-	EXPECT_EQ("", tick(399)) << "events come together";
+	EXPECT_EQ("", tick(399)) << "delayed, to collect events";
 	EXPECT_EQ("watch 70 20000", tick(1));
 	answer(JJ_PLATFORM_WATCH, JJ_PLATFORM_OK, 71);
-	EXPECT_EQ("watch 71 20000", tick(0)) << "no events: at once";
+	EXPECT_EQ("watch 71 20000", tick(0)) << "no events: no delay";
 }
 
-TEST_F(MirrorFailure, ALostHistoryIsReadAnew)
+TEST_F(MirrorFailure, ALostHistoryIsListedAgain)
 {
 	list(50);
 	EXPECT_EQ("watch 50 20000", tick(0));
@@ -172,10 +174,10 @@
 }
 
 /*
- * A platform that refuses at once, or does not understand the call, was asked
- * again at once: each of nine VMs made 125 calls a second, each with a price.
+ * Calls that the platform refused at once, or did not understand, were repeated
+ * at once: each of nine VMs made 125 calls a second, each with a price.
  */
-TEST_F(MirrorFailure, ARefusedCallIsAskedLaterAndLater)
+TEST_F(MirrorFailure, ARefusedCallIsRetriedWithBackoff)
 {
 	const jj_ms_t waits[] = {100, 200, 400, 800, 800};
 
@@ -188,7 +190,7 @@
 	EXPECT_FALSE(jj_mirror_is_current(&mirror));
 }
 
-TEST_F(Mirror, ARelayTellsEachPoll)
+TEST_F(Mirror, ARelayForwardsEachPoll)
 {
 	jj_mirror_set_duty(&mirror, JJ_MIRROR_RELAYS, now);
 	list(50);
@@ -199,13 +201,13 @@
 	EXPECT_EQ(2, relayed);
 }
 
-TEST_F(Mirror, AListenerIsToldAndDoesNotAsk)
+TEST_F(Mirror, AListenerReceivesPollsAndDoesNotPoll)
 {
-	jj_platform_item_t news = item("s/b", 55);
+	jj_platform_item_t update = item("s/b", 55);
 
 	jj_mirror_set_duty(&mirror, JJ_MIRROR_LISTENS, now);
 	list(50);
-	jj_mirror_take_relay(&mirror, 50, 55, &news, 1, now);
+	jj_mirror_take_relay(&mirror, 50, 55, &update, 1, now);
 	EXPECT_EQ(2U, table.size());
 	EXPECT_EQ("", tick(1399));
 	jj_mirror_take_relay(&mirror, 55, 56, nullptr, 0, now);
@@ -214,11 +216,11 @@
 }
 
 /*
- * The VM that watches for its domain is cut off or frozen. The others hear
- * nothing, and must not go on with what they know for longer than news may
- * take: they ask for themselves, from where they are.
+ * The relay of a domain is disconnected or paused. Its listeners receive
+ * nothing, and must not use their copy for longer than updates may take: they
+ * poll for themselves, from the revision they have.
  */
-TEST_F(MirrorFailure, AListenerAsksWhenItsRelayIsSilent)
+TEST_F(MirrorFailure, AListenerPollsWhenRelayedPollsStop)
 {
 	jj_mirror_set_duty(&mirror, JJ_MIRROR_LISTENS, now);
 	list(50);
@@ -226,14 +228,13 @@
 	EXPECT_EQ("watch 55 20000", tick(1400));
 }
 
-/* A message was lost: what follows must not hide what it said. */
 /*
- * A domain was cut off: its listeners asked in vain. The cut heals, and before
- * a listener's next try its relay speaks again, so that it need not ask. It
- * counted as cut off from then on, for ever: it took over no job, not even one
- * that nobody else takes.
+ * A domain was disconnected, and polls of its listeners failed. After the
+ * reconnect relayed polls arrive before a listener's next attempt, so that it
+ * need not poll. Such a listener counted as disconnected from then on, for
+ * ever: it took over no job, not even one that no other VM takes.
  */
-TEST_F(MirrorFailure, ARelayThatSpeaksAgainEndsAFailure)
+TEST_F(MirrorFailure, ARelayedPollEndsAFailure)
 {
 	jj_mirror_set_duty(&mirror, JJ_MIRROR_LISTENS, now);
 	list(50);
@@ -248,42 +249,45 @@
 }
 
 /*
- * The platform was away, all entries lapsed and came back. A listener had seen
- * both by its own look; its relay, a little behind, told of both once more.
- * The listener took the deletions again and left out the entries, which it
- * knew: fourteen VMs of a domain had no server from then on, and refused.
+ * During an outage of the platform all entries expired and were created again.
+ * A listener had seen both by its own poll; its relay, a little behind,
+ * forwarded both again. The listener applied the deletions again and skipped
+ * the entries, which it knew: fourteen VMs of a domain had no server from then
+ * on, and refused requests.
  */
-TEST_F(MirrorFailure, ADeletionThatIsToldAgainTakesNothingBack)
+TEST_F(MirrorFailure, ARepeatedDeletionDoesNotRemoveARecreatedObject)
 {
-	jj_platform_item_t gone = item("s/a", 3);
-	jj_platform_item_t back = item("s/a", 58);
+	jj_platform_item_t deletion = item("s/a", 3);
+	jj_platform_item_t recreated = item("s/a", 58);
 	jj_platform_item_t left = item("s/b", 4);
 
-	gone.deleted = true;
+	deletion.deleted = true;
 	left.deleted = true;
 	jj_mirror_set_duty(&mirror, JJ_MIRROR_LISTENS, now);
 	list(50);
 	EXPECT_EQ("watch 50 20000", tick(0));
-	answer(JJ_PLATFORM_WATCH, JJ_PLATFORM_OK, 60, {gone, back, left});
+	answer(
+	    JJ_PLATFORM_WATCH, JJ_PLATFORM_OK, 60, {deletion, recreated, left});
 	ASSERT_EQ(58U, table["s/a"]);
-	jj_platform_item_t again[] = {gone, back, left, item("s/c", 61)};
+	jj_platform_item_t again[] = {
+	    deletion, recreated, left, item("s/c", 61)};
 	jj_mirror_take_relay(&mirror, 50, 62, again, 4, now);
 	EXPECT_EQ(58U, table["s/a"]);
 	EXPECT_EQ(61U, table["s/c"]);
 	EXPECT_EQ(0U, table.count("s/b"));
-	gone.version = 60;
-	jj_mirror_take_relay(&mirror, 55, 63, &gone, 1, now);
-	EXPECT_EQ(0U, table.count("s/a")) << "it went after that";
+	deletion.version = 60;
+	jj_mirror_take_relay(&mirror, 55, 63, &deletion, 1, now);
+	EXPECT_EQ(0U, table.count("s/a")) << "deleted after it was recreated";
 }
 
-TEST_F(MirrorFailure, AListenerAsksAfterAGap)
+TEST_F(MirrorFailure, AListenerPollsAfterAGap)
 {
-	jj_platform_item_t news = item("s/c", 70);
+	jj_platform_item_t update = item("s/c", 70);
 
 	jj_mirror_set_duty(&mirror, JJ_MIRROR_LISTENS, now);
 	list(50);
 	jj_mirror_take_relay(&mirror, 50, 55, nullptr, 0, now);
-	jj_mirror_take_relay(&mirror, 60, 70, &news, 1, now);
+	jj_mirror_take_relay(&mirror, 60, 70, &update, 1, now);
 	EXPECT_EQ(0U, table.count("s/c"));
 	EXPECT_EQ("watch 55 20000", tick(0));
 	answer(JJ_PLATFORM_WATCH, JJ_PLATFORM_OK, 70,
@@ -291,7 +295,10 @@
 	EXPECT_EQ(3U, table.size());
 }
 
-/* Guards against a later page of a list that is taken for the first one. */
+/*
+ * A check between two pages of a list must not make the later page count as the
+ * first one.
+ */
 TEST_F(MirrorFailure, ACheckBetweenPagesLosesNoPage)
 {
 	EXPECT_EQ("list ", tick(0));
@@ -305,24 +312,26 @@
 	EXPECT_EQ("watch 50 20000", tick(0));
 }
 
-/* Guards against a deletion that is not seen again: the page that has the
- * object was read before it. */
+/*
+ * A check between two pages must not consume a deletion: the later page was
+ * read before it and still has the object.
+ */
 TEST_F(MirrorFailure, ACheckBetweenPagesHidesNoDeletion)
 {
-	jj_platform_item_t gone = item("s/b", 55, true);
+	jj_platform_item_t deletion = item("s/b", 55, true);
 
 	EXPECT_EQ("list ", tick(0));
 	answer(JJ_PLATFORM_LIST, JJ_PLATFORM_OK, 50, {item("s/a", 3)}, true);
 	EXPECT_EQ("list s/a", tick(0));
-	check(JJ_PLATFORM_OK, 70, {gone});
+	check(JJ_PLATFORM_OK, 70, {deletion});
 	answer(JJ_PLATFORM_LIST, JJ_PLATFORM_OK, 52, {item("s/b", 4)});
 	ASSERT_EQ("watch 50 20000", tick(0));
-	answer(JJ_PLATFORM_WATCH, JJ_PLATFORM_OK, 70, {gone});
+	answer(JJ_PLATFORM_WATCH, JJ_PLATFORM_OK, 70, {deletion});
 	EXPECT_EQ(0U, table.count("s/b"));
 }
 
-/* Guards against a list that waits for the end of a watch. */
-TEST_F(MirrorFailure, AHistoryLostToACheckIsReadAnewAtOnce)
+/* The list must start without waiting for the end of the pending watch. */
+TEST_F(MirrorFailure, AHistoryLostToACheckIsListedAgainAtOnce)
 {
 	list(50);
 	EXPECT_EQ("watch 50 20000", tick(0));
@@ -335,21 +344,22 @@
 	EXPECT_EQ("watch 90 20000", tick(0));
 	token = watch;
 	answer(JJ_PLATFORM_WATCH, JJ_PLATFORM_GAP, 0);
-	EXPECT_TRUE(jj_mirror_is_current(&mirror)) << "of the list before";
-	EXPECT_EQ("", tick(1000)) << "one watch is under way";
+	EXPECT_TRUE(jj_mirror_is_current(&mirror))
+	    << "result of the abandoned watch";
+	EXPECT_EQ("", tick(1000)) << "one watch is pending";
 	EXPECT_EQ(1U, table.size());
 }
 
-/* Old news comes late: a repeated message, a poll that waited long. */
-TEST_F(MirrorFailure, OldNewsChangesNothing)
+/* Outdated changes arrive late, by a repeated message or a long poll. */
+TEST_F(MirrorFailure, OutdatedChangesAreIgnored)
 {
-	jj_platform_item_t news = item("s/a", 60);
+	jj_platform_item_t update = item("s/a", 60);
 	jj_platform_item_t old = item("s/a", 51);
 
 	jj_mirror_set_duty(&mirror, JJ_MIRROR_LISTENS, now);
 	list(50);
 	EXPECT_EQ("watch 50 20000", tick(0));
-	jj_mirror_take_relay(&mirror, 50, 60, &news, 1, now);
+	jj_mirror_take_relay(&mirror, 50, 60, &update, 1, now);
 	jj_mirror_take_relay(&mirror, 50, 55, &old, 1, now);
 	answer(JJ_PLATFORM_WATCH, JJ_PLATFORM_OK, 55, {old});
 	EXPECT_EQ(60U, table["s/a"]);
--- a/tests/core/orders_test.cc
+++ b/tests/core/orders_test.cc
@@ -1,6 +1,6 @@
 /**
  * @file orders_test.cc
- * @brief Orders to engines: one director, paced, repeated without harm.
+ * @brief Orders to engines: sent by one lease holder, paced, safe to repeat.
  */
 #include <string>
 #include <vector>
@@ -25,10 +25,10 @@
 };
 
 /** A VM with its lease, its fleet and its orders. */
-class Director
+class LeaseVm
 {
       public:
-	Director(FakePlatform *platform, const char *writer, uint64_t seed,
+	LeaseVm(FakePlatform *platform, const char *writer, uint64_t seed,
 	    bool checks_fence, int servers)
 	    : platform(platform)
 	{
@@ -55,7 +55,7 @@
 		orders = jj_orders_create(&settings, lease, fleet);
 		TAILQ_INIT(&out);
 	}
-	~Director()
+	~LeaseVm()
 	{
 		jj_actions_clear(&out);
 		jj_orders_destroy(orders);
@@ -71,7 +71,7 @@
 		return result;
 	}
 	void
-	wish(const std::string &server, const char *model, jj_ms_t now,
+	set_desired(const std::string &server, const char *model, jj_ms_t now,
 	    const char *role = "")
 	{
 		jj_name_t at = name(server);
@@ -128,35 +128,33 @@
 	FakePlatform platform;
 	jj_ms_t now = 1000;
 
-	/** Runs a director; answers each order by the status, -1: never. */
+	/** Runs a VM; answers each of its orders with the status, -1: never. */
 	void
-	run(Director &director, jj_ms_t duration, int status)
+	run(LeaseVm &vm, jj_ms_t duration, int status)
 	{
 		for (jj_ms_t end = now + duration; now < end; now += 100) {
-			size_t from = director.sent.size();
+			size_t from = vm.sent.size();
 
-			director.run(now);
-			for (; from < director.sent.size() && status >= 0;
-			     from++)
-				director.answer(
-				    director.sent[from], status, now);
+			vm.run(now);
+			for (; from < vm.sent.size() && status >= 0; from++)
+				vm.answer(vm.sent[from], status, now);
 		}
 	}
 	void
-	take_lease(Director &director, int status = -1)
+	take_lease(LeaseVm &vm, int status = -1)
 	{
-		jj_lease_want(director.lease, true, now, &director.out);
-		while (!jj_lease_is_held(director.lease, now))
-			run(director, 100, status);
+		jj_lease_want(vm.lease, true, now, &vm.out);
+		while (!jj_lease_is_held(vm.lease, now))
+			run(vm, 100, status);
 	}
 };
 
 TEST_F(Orders, LoadsThenSetsTheRole)
 {
-	Director a(&platform, "a1/01", 1, true, 1);
+	LeaseVm a(&platform, "a1/01", 1, true, 1);
 
 	take_lease(a);
-	a.wish("s0", "llama", now, "decode");
+	a.set_desired("s0", "llama", now, "decode");
 	run(a, 5000, 200);
 	ASSERT_EQ(a.sent.size(), 2u);
 	EXPECT_NE(a.sent[0].body.find("\"order\":\"load\",\"model\":\"llama\""),
@@ -167,24 +165,26 @@
 	EXPECT_EQ(jj_orders_next(a.orders), JJ_MS_NEVER);
 }
 
-/* Two VMs believe they direct an engine: the first was frozen past its lease
- * while its order was under way. It must send nothing when it wakes, and for
+/*
+ * Two VMs believe that they hold the lease: the first was paused past its end
+ * while its order was pending. It must send nothing when it resumes, and for
  * engines that ignore fencing numbers the second one waits until the first
- * one's order cannot arrive any more. */
-TEST_F(Orders, OfTwoDirectorsOneSends)
+ * one's order cannot arrive any more.
+ */
+TEST_F(Orders, OfTwoLeaseHoldersOneSends)
 {
 	for (bool checks_fence : {true, false}) {
 		FakePlatform store;
-		Director a(&store, "a1/01", 1, checks_fence, 1);
-		Director b(&store, "a2/02", 2, checks_fence, 1);
+		LeaseVm a(&store, "a1/01", 1, checks_fence, 1);
+		LeaseVm b(&store, "a2/02", 2, checks_fence, 1);
 
 		take_lease(a);
-		a.wish("s0", "one", now);
+		a.set_desired("s0", "one", now);
 		run(a, 2500, -1);
 		ASSERT_EQ(a.sent.size(), 1u);
-		b.wish("s0", "two", now);
-		take_lease(b, 200); /* a is frozen meanwhile */
-		jj_ms_t taken = now - 100; /* the tick that took it */
+		b.set_desired("s0", "two", now);
+		take_lease(b, 200); /* a is paused meanwhile */
+		jj_ms_t taken = now - 100; /* the tick that took the lease */
 		run(b, 6000, 200);
 		ASSERT_EQ(b.sent.size(), 1u);
 		EXPECT_GT(b.sent[0].fence, a.sent[0].fence);
@@ -195,28 +195,31 @@
 		jj_orders_tick(a.orders, now, &a.out);
 		a.collect(now);
 		run(a, 3000, 200);
-		EXPECT_EQ(a.sent.size(), 1u) << "the frozen one, awake";
+		EXPECT_EQ(a.sent.size(), 1u)
+		    << "sent by the paused VM after it resumed";
 	}
 }
 
-TEST_F(Orders, AFencedDirectorStops)
+TEST_F(Orders, AFencedHolderStops)
 {
-	Director a(&platform, "a1/01", 1, true, 1);
+	LeaseVm a(&platform, "a1/01", 1, true, 1);
 
 	take_lease(a);
-	a.wish("s0", "one", now);
+	a.set_desired("s0", "one", now);
 	run(a, 20000, 409);
 	EXPECT_EQ(a.sent.size(), 1u);
 }
 
-/* The answer to an order is lost, or the order itself; the engine is asked
- * again and must not load twice: repeats carry the same number. */
+/*
+ * The answer to an order is lost, or the order itself; the engine gets it again
+ * and must not load twice: repeats carry the same number.
+ */
 TEST_F(Orders, AnUnansweredOrderIsRepeatedUnchanged)
 {
-	Director a(&platform, "a1/01", 1, true, 1);
+	LeaseVm a(&platform, "a1/01", 1, true, 1);
 
 	take_lease(a);
-	a.wish("s0", "one", now);
+	a.set_desired("s0", "one", now);
 	run(a, 13000, -1);
 	ASSERT_EQ(a.sent.size(), 3u) << "after 3 s, then 6 s";
 	for (const Sent &sent : a.sent) {
@@ -225,38 +228,42 @@
 	}
 	a.answer(a.sent[0], 200, now);
 	run(a, 20000, 200);
-	EXPECT_EQ(a.sent.size(), 3u) << "a late answer ends it";
+	EXPECT_EQ(a.sent.size(), 3u) << "a late answer ends the order";
 }
 
-/* Ten engines start at once and all want a model from the weight store. Sent
- * at once most would be refused, and asking again would keep it so. */
+/*
+ * Ten engines start at once and all need a model from the weight store. If all
+ * orders were sent at once, most would be refused, and so would their retries.
+ */
 TEST_F(Orders, ABurstOfLoadsIsPaced)
 {
-	Director a(&platform, "a1/01", 1, true, 10);
+	LeaseVm a(&platform, "a1/01", 1, true, 10);
 
 	take_lease(a);
 	for (int i = 0; i < 10; i++)
-		a.wish("s" + std::to_string(i), "one", now);
+		a.set_desired("s" + std::to_string(i), "one", now);
 	run(a, 3900, -1);
-	EXPECT_EQ(a.sent.size(), 2u) << "two at once";
+	EXPECT_EQ(a.sent.size(), 2u) << "more than two concurrent orders";
 	a.answer(a.sent[0], 200, now);
 	a.answer(a.sent[1], 429, now, 5000);
 	run(a, 4900, 200);
-	EXPECT_EQ(a.sent.size(), 2u) << "as long as the store asked";
+	EXPECT_EQ(a.sent.size(), 2u)
+	    << "before the store's retry-after is over";
 	run(a, 8000, 200);
-	EXPECT_EQ(a.sent.size(), 11u) << "one was refused, none twice";
+	EXPECT_EQ(a.sent.size(), 11u)
+	    << "ten orders, and a repeat of the refused one";
 	for (size_t i = 3; i < a.sent.size(); i++)
 		EXPECT_GE(a.sent[i].at_ms - a.sent[i - 1].at_ms, 500);
 }
 
-TEST_F(Orders, DeadServersDoNotHoldThePlaces)
+TEST_F(Orders, DeadServersDoNotBlockOthers)
 {
-	Director a(&platform, "a1/01", 1, true, 4);
+	LeaseVm a(&platform, "a1/01", 1, true, 4);
 	bool loaded = false;
 
 	take_lease(a);
 	for (int i = 0; i < 4; i++)
-		a.wish("s" + std::to_string(i), "one", now);
+		a.set_desired("s" + std::to_string(i), "one", now);
 	for (int i = 0; i < 300; i++) {
 		run(a, 100, -1);
 		for (const Sent &sent : a.sent)
@@ -268,23 +275,23 @@
 	EXPECT_TRUE(loaded);
 }
 
-TEST_F(Orders, AWishMustStandBeforeItIsActedOn)
+TEST_F(Orders, ADesiredStateMustBeStableBeforeItIsActedOn)
 {
-	Director a(&platform, "a1/01", 1, true, 1);
+	LeaseVm a(&platform, "a1/01", 1, true, 1);
 
 	take_lease(a);
 	for (int i = 0; i < 20; i++) {
-		a.wish("s0", i % 2 == 0 ? "one" : "two", now);
+		a.set_desired("s0", i % 2 == 0 ? "one" : "two", now);
 		run(a, 1000, 200);
 	}
 	EXPECT_EQ(a.sent.size(), 0u);
 	run(a, 2000, 200);
 	EXPECT_EQ(a.sent.size(), 1u);
-	a.wish("s0", "one", now);
+	a.set_desired("s0", "one", now);
 	run(a, 500, 200);
-	a.wish("s0", "two", now);
+	a.set_desired("s0", "two", now);
 	run(a, 5000, 200);
-	EXPECT_EQ(a.sent.size(), 1u) << "back to what is loaded";
+	EXPECT_EQ(a.sent.size(), 1u) << "the desired state is loaded already";
 }
 
 TEST_F(Orders, StatusesThatEndAnOrderOrDoNot)
@@ -301,10 +308,10 @@
 
 	for (const auto &row : cases) {
 		FakePlatform store;
-		Director a(&store, "a1/01", 1, true, 1);
+		LeaseVm a(&store, "a1/01", 1, true, 1);
 
 		take_lease(a);
-		a.wish("s0", "one", now);
+		a.set_desired("s0", "one", now);
 		run(a, 13000, row.status);
 		EXPECT_EQ(a.sent.size(), row.sent) << row.story;
 	}
