--- a/src/core/inline.h
+++ b/src/core/inline.h
@@ -90,7 +90,7 @@
 	void (*relay)(void *ctx, uint64_t from, uint64_t to,
 	    const jj_platform_item_t *items, size_t count);
 	/** Notifies the VM that runs a job that its client ended it. */
-	void (*tell_ended)(void *ctx, const char *writer, const char *id);
+	void (*notify_ended)(void *ctx, const char *writer, const char *id);
 } jj_inline_port_t;
 
 typedef struct {
--- a/src/core/inline_op.c
+++ b/src/core/inline_op.c
@@ -691,6 +691,6 @@
 	if (strcmp(op->owner, jobs->settings.writer) == 0)
 		jj_inline_take_ended(jobs, op->id, now, out);
 	else
-		jobs->port.tell_ended(jobs->port.ctx, op->owner, op->id);
+		jobs->port.notify_ended(jobs->port.ctx, op->owner, op->id);
 	jj_inline_answer(jobs, op, 200, NULL, out);
 }
--- a/src/core/inline_state.h
+++ b/src/core/inline_state.h
@@ -37,7 +37,7 @@
 	uint64_t token; /**< of a pending takeover, 0: none */
 	jj_ms_t retry_ms; /**< no takeover attempt before this */
 	jj_ms_t ownerless_ms; /**< without a live owner since; 0: has one */
-	jj_ms_t reported_ms; /**< by the watchdog */
+	jj_ms_t reported_ms; /**< last logged by the watchdog */
 } jj_open_entry_t;
 
 TAILQ_HEAD(jj_open_list, jj_open_entry);
@@ -138,7 +138,7 @@
 
 	uint64_t progress_mark; /**< hash of the progress, for the watchdog */
 	jj_ms_t progress_ms; /**< last progress seen; 0: not checked yet */
-	jj_ms_t reported_ms; /**< by the watchdog */
+	jj_ms_t reported_ms; /**< last logged by the watchdog */
 } jj_inline_run_t;
 
 TAILQ_HEAD(jj_inline_run_list, jj_inline_run_job);
--- a/src/core/mirror.h
+++ b/src/core/mirror.h
@@ -73,7 +73,7 @@
 void jj_mirror_init(jj_mirror_t *mirror, const jj_mirror_settings_t *settings,
     const jj_mirror_port_t *port);
 void jj_mirror_set_active(jj_mirror_t *mirror, bool active, jj_ms_t now);
-/** Changes the role of the mirror. */
+/** Changes the duty of the mirror. */
 void
 jj_mirror_set_duty(jj_mirror_t *mirror, jj_mirror_duty_t duty, jj_ms_t now);
 /**
--- a/tests/core/inline_world.h
+++ b/tests/core/inline_world.h
@@ -303,7 +303,7 @@
 }
 
 inline void
-tell_ended(void *ctx, const char *writer, const char *id)
+notify_ended(void *ctx, const char *writer, const char *id)
 {
 	vm(ctx)->ended_notices.push_back(std::string(writer) + " " + id);
 }
@@ -320,7 +320,7 @@
 	    inline_port::unix_ms, inline_port::begin_item,
 	    inline_port::cancel_item, inline_port::is_item_sent,
 	    inline_port::write_page, inline_port::relay,
-	    inline_port::tell_ended};
+	    inline_port::notify_ended};
 
 	snprintf(
 	    settings.writer, sizeof(settings.writer), "%s", writer.c_str());
--- a/tests/core/mirror_test.cc
+++ b/tests/core/mirror_test.cc
@@ -280,6 +280,7 @@
 	EXPECT_EQ(0U, table.count("s/a")) << "deleted after it was recreated";
 }
 
+/* A relayed message was lost: the next one must not hide its changes. */
 TEST_F(MirrorFailure, AListenerPollsAfterAGap)
 {
 	jj_platform_item_t update = item("s/c", 70);
