--- a/src/core/inline_sure.c
+++ b/src/core/inline_ownership.c
@@ -1,5 +1,5 @@
 /**
- * @file inline_sure.c
+ * @file inline_ownership.c
  * @brief Verifies that the jobs that this VM runs are still its own.
  *
  * Other VMs take a job over when they receive no heartbeat from its VM for a
--- a/src/core/inline_heard.c
+++ b/src/core/inline_peer_states.c
@@ -1,5 +1,5 @@
 /**
- * @file inline_heard.c
+ * @file inline_peer_states.c
  * @brief Reports of other VMs about the jobs that they run.
  *
  * A VM that runs jobs reports a few times a second how many results of each are
--- a/src/core/inline_state.h
+++ b/src/core/inline_state.h
@@ -212,7 +212,7 @@
 	uint64_t last_token;
 	bool leaving;
 	jj_ms_t now_ms; /**< time of the current step, or the last one */
-	/** Heartbeats of some VM were missing then: see inline_sure.c. */
+	/** Heartbeats of some VM were missing then: see inline_ownership.c. */
 	jj_ms_t heartbeat_missing_ms;
 	/** Another VM wrote to a job of this VM then. */
 	jj_ms_t foreign_write_ms;
@@ -277,7 +277,7 @@
 uint64_t jj_inline_open_tokens(
     const jj_inline_t *jobs, const jj_name_t *route, jj_ms_t now);
 
-/* Reports of other VMs about their jobs (inline_heard.c). */
+/* Reports of other VMs about their jobs (inline_peer_states.c). */
 uint64_t jj_inline_hash(const char *text);
 /** The last report about a job, or NULL when there is none or it is too old. */
 const jj_peer_state_t *
@@ -292,7 +292,7 @@
 bool jj_inline_take_takeover(jj_inline_t *jobs,
     const jj_platform_result_t *result, jj_ms_t now, jj_actions_t *out);
 
-/* Verifies that jobs are still this VM's (inline_sure.c). */
+/* Verifies that jobs are still this VM's (inline_ownership.c). */
 /** True when a recent check showed that this VM still owns its jobs. */
 bool jj_inline_is_verified(const jj_inline_t *jobs);
 /** True when this VM knows all published results of the job. */
