--- a/src/core/batch.c
+++ b/src/core/batch.c
@@ -2,25 +2,28 @@
  * @file batch.c
  * @brief The batch worker's public functions.
  *
- * Each event ends with one round over all that is held: calls that are due
- * are sent, items are offered, and further chunks are taken while the
- * servers have room.
+ * Each event ends with one round over all held chunks: it sends the platform
+ * calls that are due, starts items, and claims further chunks while the
+ * backend servers have free capacity.
  */
 #include <stdlib.h>
 #include <string.h>
 
 #include "core/batch_worker.h"
 
-/** Tokens of this module; the others belong to the job operations. */
+/** Set in tokens of this module; the others belong to the job operations. */
 #define TOKEN_BIT (UINT64_C(1) << 63)
-/** Longest wait after failed calls: retry_ms doubled so often. */
-#define BACKOFF_DOUBLINGS 6
-/** Chunks held at most, with those whose service takes nothing now. */
-#define STALLED_FACTOR 4
+/** After failed calls, retry_ms is doubled at most this many times. */
+#define BACKOFF_DOUBLINGS_MAX 6
+/**
+ * Together with the stalled chunks, whose service takes no items at present,
+ * a worker holds at most settings.chunks times this many.
+ */
+#define STALLED_CHUNKS_FACTOR 4
 
 static void run_round(jj_batch_t *, jj_ms_t, jj_actions_t *);
-static void take_chunks(jj_batch_t *, jj_ms_t, jj_actions_t *);
-static bool has_place(const jj_batch_t *, jj_ms_t);
+static void claim_chunks(jj_batch_t *, jj_ms_t, jj_actions_t *);
+static bool may_claim_chunk(const jj_batch_t *, jj_ms_t);
 static void sweep_chunks(jj_batch_t *);
 static void
 take_job_change(jj_batch_t *, const char *, const char *, uint64_t, jj_ms_t);
@@ -66,14 +69,14 @@
 jj_batch_set_limits(jj_batch_t *batch,
     int32_t (*limit)(void *ctx, const char *service), void *ctx)
 {
-	batch->service_room.limit = limit;
-	batch->service_room.ctx = ctx;
+	batch->service_capacity.limit = limit;
+	batch->service_capacity.ctx = ctx;
 }
 
 void
 jj_batch_set_room(jj_batch_t *batch, uint32_t items)
 {
-	batch->room = items;
+	batch->free_capacity = items;
 }
 
 void
@@ -86,7 +89,7 @@
 	if (key[0] == '\0')
 		jj_job_table_relist(batch, now);
 	else if (jj_batch_split_key(key, JJ_ACTIVE_PREFIX, id, &rest))
-		jj_job_table_learn(&batch->jobs, id, false);
+		jj_job_table_add_job(&batch->jobs, id, false);
 	else if (jj_batch_split_key(key, "jobs/", id, &rest))
 		take_job_change(batch, id, rest, version, now);
 	run_round(batch, now, out);
@@ -96,7 +99,7 @@
 jj_batch_take_death(
     jj_batch_t *batch, const char *writer, jj_ms_t now, jj_actions_t *out)
 {
-	jj_job_table_bury(&batch->jobs, writer);
+	jj_job_table_mark_failed(&batch->jobs, writer);
 	run_round(batch, now, out);
 }
 
@@ -154,8 +157,8 @@
 		if (at < next)
 			next = at;
 	}
-	/* What is due already was dealt with in this round: it waits for an
-	 * event such as room, not for the clock. */
+	/* The last round did all that was due. What remains due waits for an
+	 * event, such as free capacity, so a tick now would do nothing. */
 	return next > batch->now_ms ? next : batch->now_ms + 1;
 }
 
@@ -218,16 +221,16 @@
 
 jj_ms_t
 jj_batch_backoff(
-    jj_batch_t *batch, uint32_t failures, jj_ms_t at_least_ms, jj_ms_t now)
+    jj_batch_t *batch, uint32_t failures, jj_ms_t min_wait_ms, jj_ms_t now)
 {
 	uint32_t doublings = failures > 0 ? failures - 1 : 0;
 	jj_ms_t wait;
 
-	if (doublings > BACKOFF_DOUBLINGS)
-		doublings = BACKOFF_DOUBLINGS;
+	if (doublings > BACKOFF_DOUBLINGS_MAX)
+		doublings = BACKOFF_DOUBLINGS_MAX;
 	wait = batch->settings.retry_ms << doublings;
-	if (wait < at_least_ms)
-		wait = at_least_ms;
+	if (wait < min_wait_ms)
+		wait = min_wait_ms;
 	wait += (jj_ms_t)(jj_operations_next(&batch->operations) %
 	    (uint64_t)(wait / 4 + 1));
 	return now + wait;
@@ -239,24 +242,24 @@
 	jj_held_chunk_t *chunk;
 
 	batch->now_ms = now;
-	jj_batch_room_begin(&batch->service_room);
+	jj_batch_capacity_begin_round(&batch->service_capacity);
 	TAILQ_FOREACH(chunk, &batch->chunks, link)
 	jj_held_chunk_count_running(batch, chunk);
 	TAILQ_FOREACH(chunk, &batch->chunks, link)
 	{
 		jj_held_chunk_step(batch, chunk, now, out);
-		jj_held_chunk_offer(batch, chunk, now, out);
+		jj_held_chunk_send_items(batch, chunk, now, out);
 	}
 	sweep_chunks(batch);
-	take_chunks(batch, now, out);
+	claim_chunks(batch, now, out);
 	jj_job_table_step(batch, now, out);
 	jj_job_table_sweep(&batch->jobs);
 }
 
 static void
-take_chunks(jj_batch_t *batch, jj_ms_t now, jj_actions_t *out)
+claim_chunks(jj_batch_t *batch, jj_ms_t now, jj_actions_t *out)
 {
-	while (has_place(batch, now)) {
+	while (may_claim_chunk(batch, now)) {
 		jj_chunk_choice_t choice = jj_job_table_choose(batch, now);
 		jj_held_chunk_t *chunk;
 
@@ -269,11 +272,11 @@
 }
 
 /*
- * A chunk whose service takes nothing for now keeps its claim, but not the
- * place of a chunk whose items could run.
+ * A stalled chunk keeps its claim, but doesn't count against the limit of
+ * claimed chunks: others whose items can run are claimed beside it.
  */
 static bool
-has_place(const jj_batch_t *batch, jj_ms_t now)
+may_claim_chunk(const jj_batch_t *batch, jj_ms_t now)
 {
 	const jj_held_chunk_t *chunk;
 	uint32_t ready = 0;
@@ -282,13 +285,13 @@
 
 	TAILQ_FOREACH(chunk, &batch->chunks, link)
 	{
-		ready += jj_held_chunk_ready(chunk, now);
+		ready += jj_held_chunk_count_ready(chunk, now);
 		held += jj_held_chunk_is_stalled(chunk) ? 0 : 1;
 		all++;
 	}
-	return !batch->leaving && batch->room > ready &&
+	return !batch->leaving && batch->free_capacity > ready &&
 	    held < batch->settings.chunks &&
-	    all < batch->settings.chunks * STALLED_FACTOR;
+	    all < batch->settings.chunks * STALLED_CHUNKS_FACTOR;
 }
 
 static void
@@ -299,14 +302,14 @@
 
 	for (chunk = TAILQ_FIRST(&batch->chunks); chunk != NULL; chunk = next) {
 		next = TAILQ_NEXT(chunk, link);
-		if (chunk->phase != JJ_PHASE_GONE)
+		if (chunk->phase != JJ_PHASE_DROPPED)
 			continue;
 		TAILQ_REMOVE(&batch->chunks, chunk, link);
 		jj_held_chunk_destroy(chunk);
 	}
 }
 
-/* `jobs/ID/REST` was written. */
+/* Handles a write of `jobs/ID/REST`. */
 static void
 take_job_change(jj_batch_t *batch, const char *id, const char *rest,
     uint64_t version, jj_ms_t now)
@@ -315,14 +318,14 @@
 	bool is_job = strcmp(rest, "job") == 0;
 
 	if (known == NULL)
-		jj_job_table_learn(&batch->jobs, id, is_job);
+		jj_job_table_add_job(&batch->jobs, id, is_job);
 	else if (is_job)
 		known->wants_refresh |= version > known->job.version;
 	else if (known->loaded)
 		take_chunk_change(known, rest, version, now);
 }
 
-/* `chunk/N` or `out/N` was written. */
+/* Handles a write of `jobs/ID/chunk/N` or `jobs/ID/out/N`. */
 static void
 take_chunk_change(
     jj_known_job_t *known, const char *rest, uint64_t version, jj_ms_t now)
@@ -342,5 +345,5 @@
 		return;
 	}
 	jj_known_job_set_view(known, chunk, JJ_VIEW_CLAIMED);
-	(void)jj_known_job_see_claim(known, chunk, version, now);
+	(void)jj_known_job_note_claim(known, chunk, version, now);
 }
--- a/src/core/batch_chunk.c
+++ b/src/core/batch_chunk.c
@@ -1,6 +1,6 @@
 /**
  * @file batch_chunk.c
- * @brief One chunk from claim to out object: its steps and its writes.
+ * @brief One chunk from claim to out object: its platform calls.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -8,8 +8,8 @@
 
 #include "core/batch_worker.h"
 
-/** A chunk without room is looked at again this often, ms. */
-#define BLOCKED_LOOK_MS 500
+/** Interval at which a blocked chunk is checked for a release. */
+#define BLOCKED_CHECK_MS 500
 
 static void
 send_get(jj_batch_t *, jj_held_chunk_t *, const char *, jj_actions_t *);
@@ -36,13 +36,13 @@
 	chunk->results = jj_alloc((chunk->count + 1) * sizeof(*chunk->results));
 	chunk->started = jj_alloc((chunk->count + 1) * sizeof(*chunk->started));
 	jj_known_job_set_view(chunk->job, chunk->number, JJ_VIEW_HELD);
-	chunk->phase = JJ_PHASE_EXAMINE;
+	chunk->phase = JJ_PHASE_READ_RECORD;
 	if (!choice->has_record) {
 		chunk->phase = JJ_PHASE_CLAIM;
 		chunk->fence = 1;
 		jj_held_chunk_prepare_record(
 		    batch, chunk, JJ_WRITE_CLAIM, JJ_CHUNK_RUNNING);
-		chunk->write.creates = true;
+		chunk->write.is_create = true;
 	}
 	return chunk;
 }
@@ -70,7 +70,7 @@
 	if (chunk->token != 0 || now < chunk->retry_at_ms)
 		return;
 	switch (chunk->phase) {
-	case JJ_PHASE_EXAMINE:
+	case JJ_PHASE_READ_RECORD:
 	case JJ_PHASE_CHECK_CLAIM:
 	case JJ_PHASE_CHECK_RECORD:
 		send_get(batch, chunk, "chunk", out);
@@ -94,7 +94,7 @@
 	case JJ_PHASE_FINISH:
 		send_write(batch, chunk, now, out);
 		break;
-	case JJ_PHASE_GONE:
+	case JJ_PHASE_DROPPED:
 		break;
 	}
 }
@@ -103,8 +103,8 @@
 jj_held_chunk_cancel(
     jj_batch_t *batch, jj_held_chunk_t *chunk, jj_actions_t *out)
 {
-	/* Before its part is read, a chunk has nothing to stop; it sees the
-	 * cancel once it is loaded. */
+	/* Before its part is read, a chunk has no items to cancel; they are
+	 * cancelled when they are loaded. */
 	if (chunk->phase < JJ_PHASE_RUN || has_out(chunk))
 		return;
 	jj_held_chunk_cancel_items(batch, chunk, out);
@@ -113,7 +113,7 @@
 void
 jj_held_chunk_lose(jj_batch_t *batch, jj_held_chunk_t *chunk, jj_actions_t *out)
 {
-	if (chunk->phase == JJ_PHASE_GONE)
+	if (chunk->phase == JJ_PHASE_DROPPED)
 		return;
 	if (is_claimed(chunk) && !has_out(chunk))
 		batch->counts.claims_lost++;
@@ -125,10 +125,10 @@
 jj_held_chunk_leave(
     jj_batch_t *batch, jj_held_chunk_t *chunk, jj_actions_t *out)
 {
-	bool sent = chunk->token != 0 || chunk->write.unsure;
+	bool sent = chunk->token != 0 || chunk->write.may_be_applied;
 
 	(void)batch;
-	if (chunk->phase == JJ_PHASE_EXAMINE) {
+	if (chunk->phase == JJ_PHASE_READ_RECORD) {
 		jj_held_chunk_drop(chunk, JJ_VIEW_CLAIMED);
 		return;
 	}
@@ -154,10 +154,10 @@
 	if (chunk->token == 0 && chunk->phase == JJ_PHASE_RUN &&
 	    chunk->write.kind == JJ_WRITE_NONE && next < chunk->renew_at_ms)
 		next = chunk->renew_at_ms;
-	if (chunk->blocked_ms != 0 &&
-	    next > chunk->blocked_ms + BLOCKED_LOOK_MS)
-		next = batch->now_ms + BLOCKED_LOOK_MS;
-	for (i = 0; i < chunk->count && batch->room > 0; i++) {
+	if (chunk->blocked_since_ms != 0 &&
+	    next > chunk->blocked_since_ms + BLOCKED_CHECK_MS)
+		next = batch->now_ms + BLOCKED_CHECK_MS;
+	for (i = 0; i < chunk->count && batch->free_capacity > 0; i++) {
 		const jj_batch_item_t *item = &chunk->items[i];
 
 		if (item->state == JJ_ITEM_OPEN &&
@@ -173,7 +173,7 @@
     jj_write_kind_t kind, jj_chunk_state_t state)
 {
 	jj_chunk_record_t record = {.fence = chunk->fence,
-	    .beat = chunk->beat,
+	    .renewals = chunk->renewals,
 	    .lease_ms = batch->settings.lease_ms,
 	    .state = state,
 	    .counts = chunk->counts};
@@ -202,9 +202,9 @@
 	jj_known_job_t *known = chunk->job;
 
 	jj_known_job_set_view(known, chunk->number, view);
-	chunk->phase = JJ_PHASE_GONE;
+	chunk->phase = JJ_PHASE_DROPPED;
 	chunk->token = 0;
-	/* Whoever ends the last open chunk looks whether the job is done. */
+	/* Whoever ends the last open chunk checks whether the job is done. */
 	if (view == JJ_VIEW_OUT &&
 	    (known->open_count == 0 || jj_known_job_is_cancelled(known)))
 		known->wants_refresh = true;
@@ -248,32 +248,34 @@
 	jj_chunk_write_t *write = &chunk->write;
 	bool is_out = write->kind == JJ_WRITE_OUT;
 	jj_platform_call_t *call = jj_batch_call(batch, out,
-	    write->creates ? JJ_PLATFORM_CREATE : JJ_PLATFORM_UPDATE,
+	    write->is_create ? JJ_PLATFORM_CREATE : JJ_PLATFORM_UPDATE,
 	    &chunk->token);
 
 	(void)snprintf(call->key, sizeof(call->key), "jobs/%s/%s/%06u",
 	    chunk->job->job.id, is_out ? "out" : "chunk", chunk->number);
-	call->version = write->creates ? 0 : chunk->version;
+	call->version = write->is_create ? 0 : chunk->version;
 	call->value = jj_bytes_copy(write->value.data, write->value.size);
-	/* The lease counts from before the first try: an earlier try may be
-	 * the one that took effect. */
-	if (write->sent_ms == 0)
-		write->sent_ms = now;
+	/* The lease starts at the first try, as that may be the one that was
+	 * applied. */
+	if (write->first_sent_ms == 0)
+		write->first_sent_ms = now;
 }
 
 /*
- * A cancelled item is published as not run. A frozen holder would say so of
- * an item that its successor had run before the cancel; it therefore renews
- * its claim once more first. Who takes the chunk over after that reads the
- * job after its claim, sees the cancel and runs nothing.
+ * An item that was cancelled before it was sent is published as not run. A
+ * holder that was paused past its lease could publish this for an item that
+ * its successor has run before the cancel. So a renewal of the claim must
+ * succeed first. A VM that takes the chunk over after that renewal reads the
+ * job after its claim, finds it cancelled and runs nothing.
  */
 static void
 step_run(
     jj_batch_t *batch, jj_held_chunk_t *chunk, jj_ms_t now, jj_actions_t *out)
 {
-	bool complete = chunk->ended == chunk->count && !chunk->write.unsure;
+	bool complete =
+	    chunk->ended == chunk->count && !chunk->write.may_be_applied;
 
-	if (complete && !chunk->must_confirm) {
+	if (complete && !chunk->must_renew) {
 		prepare_out(batch, chunk);
 		chunk->phase = JJ_PHASE_PUBLISH;
 	} else if (chunk->write.kind == JJ_WRITE_NONE) {
@@ -287,21 +289,21 @@
 choose_write(jj_batch_t *batch, jj_held_chunk_t *chunk, jj_ms_t now)
 {
 	bool complete = chunk->ended == chunk->count;
-	bool due = now >= chunk->renew_at_ms || chunk->must_confirm;
+	bool due = now >= chunk->renew_at_ms || chunk->must_renew;
 
 	if (chunk->running == 0 && !complete &&
 	    (batch->leaving ||
-		jj_held_chunk_wants_release(batch, chunk, now))) {
+		jj_held_chunk_should_release(batch, chunk, now))) {
 		jj_held_chunk_unmark_unsent(chunk);
 		jj_held_chunk_prepare_record(
 		    batch, chunk, JJ_WRITE_RELEASE, JJ_CHUNK_RELEASED);
 		return;
 	}
-	if (jj_held_chunk_mark(batch, chunk, now) == 0 && !due)
+	if (jj_held_chunk_mark_started(batch, chunk, now) == 0 && !due)
 		return;
-	chunk->checks_job = due;
-	chunk->confirms = chunk->must_confirm;
-	chunk->beat++;
+	chunk->check_job_next = due;
+	chunk->is_required_renewal = chunk->must_renew;
+	chunk->renewals++;
 	jj_held_chunk_prepare_record(
 	    batch, chunk, JJ_WRITE_RENEW, JJ_CHUNK_RUNNING);
 }
@@ -318,7 +320,7 @@
 prepare_out(jj_batch_t *batch, jj_held_chunk_t *chunk)
 {
 	prepare_write(batch, chunk, JJ_WRITE_OUT);
-	chunk->write.creates = true;
+	chunk->write.is_create = true;
 	chunk->write.value = jj_out_encode(chunk->results, chunk->count,
 	    batch->settings.writer, chunk->write.operation);
 	chunk->counts = jj_results_count(chunk->results, chunk->count);
--- a/src/core/batch_chunk_result.c
+++ b/src/core/batch_chunk_result.c
@@ -1,16 +1,16 @@
 /**
  * @file batch_chunk_result.c
- * @brief What a chunk makes of the results of its platform calls.
+ * @brief Handles the results of a chunk's platform calls.
  */
 #include <stdlib.h>
 #include <string.h>
 
 #include "core/batch_worker.h"
 
-/** A chunk that was given back is not claimed here again before, ms. */
-#define AVOID_MS 3000
+/** A chunk that this VM released is not claimed here again for so long. */
+#define RECLAIM_DELAY_MS 3000
 
-static bool is_answer(jj_platform_outcome_t);
+static bool is_definite(jj_platform_outcome_t);
 static void take_failure(
     jj_batch_t *, jj_held_chunk_t *, const jj_platform_result_t *, jj_ms_t);
 static void take_written(jj_batch_t *, jj_held_chunk_t *,
@@ -19,15 +19,15 @@
 static void confirm_claim(jj_batch_t *, jj_held_chunk_t *);
 static void take_read(jj_batch_t *, jj_held_chunk_t *,
     const jj_platform_result_t *, jj_ms_t, jj_actions_t *);
-static void take_examined(
+static void take_other_record(
     jj_batch_t *, jj_held_chunk_t *, const jj_platform_result_t *, jj_ms_t);
-static void inherit(jj_held_chunk_t *, const jj_chunk_record_t *);
+static void take_over_record(jj_held_chunk_t *, const jj_chunk_record_t *);
 static void take_claim_check(
     jj_batch_t *, jj_held_chunk_t *, const jj_platform_result_t *, jj_ms_t);
 static void take_record_check(jj_batch_t *, jj_held_chunk_t *,
     const jj_platform_result_t *, jj_ms_t, jj_actions_t *);
-static void
-take_old_out(jj_batch_t *, jj_held_chunk_t *, const jj_platform_result_t *);
+static void take_previous_out(
+    jj_batch_t *, jj_held_chunk_t *, const jj_platform_result_t *);
 static void take_job(jj_batch_t *, jj_held_chunk_t *,
     const jj_platform_result_t *, jj_ms_t, jj_actions_t *);
 static void take_part(jj_batch_t *, jj_held_chunk_t *,
@@ -41,7 +41,7 @@
     const jj_platform_result_t *result, jj_ms_t now, jj_actions_t *out)
 {
 	chunk->token = 0;
-	if (!is_answer(result->outcome)) {
+	if (!is_definite(result->outcome)) {
 		take_failure(batch, chunk, result, now);
 		return;
 	}
@@ -55,16 +55,17 @@
 }
 
 static bool
-is_answer(jj_platform_outcome_t outcome)
+is_definite(jj_platform_outcome_t outcome)
 {
 	return outcome == JJ_PLATFORM_OK || outcome == JJ_PLATFORM_ABSENT ||
 	    outcome == JJ_PLATFORM_CONFLICT;
 }
 
 /*
- * No answer, or none now. A write that may have taken effect is repeated
- * byte for byte until its outcome is known. One that surely was not done
- * is made anew, with what has ended meanwhile.
+ * The call failed. A write that may have been applied is retried with the same
+ * bytes until its outcome is known. A checkpoint or release that verifiably
+ * was not applied is discarded; the next one also has the items that have
+ * ended since.
  */
 static void
 take_failure(jj_batch_t *batch, jj_held_chunk_t *chunk,
@@ -81,11 +82,11 @@
 	if (is_read)
 		return;
 	if (result->outcome == JJ_PLATFORM_UNKNOWN)
-		chunk->write.unsure = true;
-	if (chunk->write.unsure)
+		chunk->write.may_be_applied = true;
+	if (chunk->write.may_be_applied)
 		return;
 	if (kind == JJ_WRITE_RENEW || kind == JJ_WRITE_RELEASE) {
-		jj_held_chunk_unmark(chunk, false);
+		jj_held_chunk_end_marking(chunk, false);
 		jj_held_chunk_discard_write(chunk);
 	}
 	if (kind == JJ_WRITE_CLAIM && batch->leaving)
@@ -103,7 +104,7 @@
 	if (chunk->write.kind == JJ_WRITE_OUT)
 		chunk->phase = JJ_PHASE_CHECK_OUT;
 	else if (chunk->write.kind == JJ_WRITE_DONE)
-		/* The results stand; the record is the next holder's. */
+		/* The results are published; another VM has the record. */
 		jj_held_chunk_drop(chunk, JJ_VIEW_OUT);
 	else if (chunk->phase == JJ_PHASE_CLAIM)
 		chunk->phase = JJ_PHASE_CHECK_CLAIM;
@@ -113,17 +114,20 @@
 		jj_held_chunk_lose(batch, chunk, out);
 }
 
-/* Another VM shall have the chunk: this one gave it back for want of room. */
+/*
+ * This VM released the chunk for lack of free capacity; it waits before
+ * claiming it again, so that another VM can.
+ */
 static void
-avoid_released(jj_batch_t *batch, jj_held_chunk_t *chunk)
+delay_reclaim(jj_batch_t *batch, jj_held_chunk_t *chunk)
 {
-	jj_seen_claim_t *claim = jj_known_job_see_claim(
+	jj_seen_claim_t *claim = jj_known_job_note_claim(
 	    chunk->job, chunk->number, chunk->version, batch->now_ms);
 
 	claim->changed = false;
 	claim->released = true;
 	claim->lease_ms = batch->settings.lease_ms;
-	claim->avoid_until_ms = batch->now_ms + AVOID_MS;
+	claim->no_claim_until_ms = batch->now_ms + RECLAIM_DELAY_MS;
 	(void)snprintf(
 	    claim->holder, sizeof(claim->holder), "%s", batch->settings.writer);
 }
@@ -132,34 +136,35 @@
 confirm_write(jj_batch_t *batch, jj_held_chunk_t *chunk, uint64_t version)
 {
 	jj_write_kind_t kind = chunk->write.kind;
-	jj_ms_t sent_ms = chunk->write.sent_ms;
+	jj_ms_t first_sent_ms = chunk->write.first_sent_ms;
 
 	jj_held_chunk_discard_write(chunk);
 	if (kind == JJ_WRITE_OUT) {
 		batch->counts.published++;
-		jj_known_job_answer_for_out(chunk->job, version);
+		jj_known_job_note_own_out(chunk->job, version);
 		begin_finish(batch, chunk);
 		return;
 	}
 	chunk->version = version;
 	if (kind == JJ_WRITE_RELEASE)
-		avoid_released(batch, chunk);
+		delay_reclaim(batch, chunk);
 	if (kind == JJ_WRITE_DONE || kind == JJ_WRITE_RELEASE) {
 		jj_held_chunk_drop(chunk,
 		    kind == JJ_WRITE_DONE ? JJ_VIEW_OUT : JJ_VIEW_CLAIMED);
 		return;
 	}
-	chunk->lease_until_ms = sent_ms + batch->settings.lease_ms;
-	chunk->renew_at_ms = sent_ms + batch->settings.checkpoint_ms;
+	chunk->lease_until_ms = first_sent_ms + batch->settings.lease_ms;
+	chunk->renew_at_ms = first_sent_ms + batch->settings.checkpoint_ms;
 	if (kind == JJ_WRITE_CLAIM) {
 		confirm_claim(batch, chunk);
 		return;
 	}
-	jj_held_chunk_unmark(chunk, true);
+	jj_held_chunk_end_marking(chunk, true);
 	batch->counts.checkpoints++;
-	if (chunk->confirms)
-		chunk->must_confirm = false;
-	chunk->phase = chunk->checks_job ? JJ_PHASE_CHECK_JOB : JJ_PHASE_RUN;
+	if (chunk->is_required_renewal)
+		chunk->must_renew = false;
+	chunk->phase =
+	    chunk->check_job_next ? JJ_PHASE_CHECK_JOB : JJ_PHASE_RUN;
 }
 
 static void
@@ -179,8 +184,8 @@
     const jj_platform_result_t *result, jj_ms_t now, jj_actions_t *out)
 {
 	switch (chunk->phase) {
-	case JJ_PHASE_EXAMINE:
-		take_examined(batch, chunk, result, now);
+	case JJ_PHASE_READ_RECORD:
+		take_other_record(batch, chunk, result, now);
 		break;
 	case JJ_PHASE_CHECK_CLAIM:
 		take_claim_check(batch, chunk, result, now);
@@ -189,7 +194,7 @@
 		take_record_check(batch, chunk, result, now, out);
 		break;
 	case JJ_PHASE_READ_OUT:
-		take_old_out(batch, chunk, result);
+		take_previous_out(batch, chunk, result);
 		break;
 	case JJ_PHASE_READ_JOB:
 	case JJ_PHASE_CHECK_JOB:
@@ -207,12 +212,13 @@
 }
 
 /*
- * The version must not have changed for the whole lease and a margin on the
- * own clock: no clock of another VM is trusted. The take-over is an update
- * on the version read here, so that a holder that renews in between wins.
+ * A claim has lapsed when the record's version has not changed for the lease
+ * and a margin by this VM's clock; clocks of other VMs are not trusted. The
+ * takeover is an update on the version read here: if the holder renews in
+ * between, the takeover fails.
  */
 static void
-take_examined(jj_batch_t *batch, jj_held_chunk_t *chunk,
+take_other_record(jj_batch_t *batch, jj_held_chunk_t *chunk,
     const jj_platform_result_t *result, jj_ms_t now)
 {
 	jj_chunk_record_t record = {0};
@@ -223,7 +229,7 @@
 		jj_held_chunk_drop(chunk, JJ_VIEW_OPEN);
 		return;
 	}
-	claim = jj_known_job_read_claim(
+	claim = jj_known_job_note_record(
 	    &batch->jobs, chunk->job, chunk->number, &record, now);
 	jj_job_table_count_probe(&batch->jobs,
 	    record.state == JJ_CHUNK_DONE ||
@@ -233,7 +239,7 @@
 	} else if (!jj_seen_claim_has_lapsed(batch, claim, now)) {
 		jj_held_chunk_drop(chunk, JJ_VIEW_CLAIMED);
 	} else {
-		inherit(chunk, &record);
+		take_over_record(chunk, &record);
 		jj_held_chunk_prepare_record(
 		    batch, chunk, JJ_WRITE_CLAIM, JJ_CHUNK_RUNNING);
 		chunk->phase = JJ_PHASE_CLAIM;
@@ -242,7 +248,7 @@
 }
 
 static void
-inherit(jj_held_chunk_t *chunk, const jj_chunk_record_t *record)
+take_over_record(jj_held_chunk_t *chunk, const jj_chunk_record_t *record)
 {
 	jj_item_record_t *items = jj_alloc((chunk->count + 1) * sizeof(*items));
 	uint32_t i;
@@ -279,19 +285,20 @@
 	} else if (record.state == JJ_CHUNK_DONE) {
 		jj_held_chunk_drop(chunk, JJ_VIEW_OUT);
 	} else {
-		(void)jj_known_job_read_claim(
+		(void)jj_known_job_note_record(
 		    &batch->jobs, chunk->job, chunk->number, &record, now);
 		jj_held_chunk_drop(chunk, JJ_VIEW_CLAIMED);
-		/* Two lists tell of all claims; else each costs a write. */
-		chunk->job->behind = chunk->job->open_count > 0;
+		/* The views are stale. Two list calls refresh them; without,
+		 * each chunk claimed by others costs a failed write. */
+		chunk->job->views_stale = chunk->job->open_count > 0;
 	}
 	jj_chunk_record_clear(&record);
 }
 
 /*
- * A conflict may be the echo of the own write whose answer was lost; the
- * operation id tells. Any other holder means that the claim is lost: what
- * runs here is stopped and the results are dropped.
+ * A write may conflict with an earlier try of itself whose answer was lost;
+ * the operation id shows it. If the record has another holder, the claim is
+ * lost: running items are cancelled and their results dropped.
  */
 static void
 take_record_check(jj_batch_t *batch, jj_held_chunk_t *chunk,
@@ -311,16 +318,17 @@
 		chunk->version = record.version;
 		chunk->phase = JJ_PHASE_RUN;
 	} else {
-		(void)jj_known_job_read_claim(
+		(void)jj_known_job_note_record(
 		    &batch->jobs, chunk->job, chunk->number, &record, now);
 		jj_held_chunk_lose(batch, chunk, out);
 	}
 	jj_chunk_record_clear(&record);
 }
 
-/* The last holder may have died between its out object and its record. */
+/* The previous holder may have failed after publishing the out object and
+ * before marking its record as done. */
 static void
-take_old_out(jj_batch_t *batch, jj_held_chunk_t *chunk,
+take_previous_out(jj_batch_t *batch, jj_held_chunk_t *chunk,
     const jj_platform_result_t *result)
 {
 	if (result->outcome != JJ_PLATFORM_OK) {
@@ -328,7 +336,7 @@
 		return;
 	}
 	(void)jj_out_count(&result->value, &chunk->counts);
-	jj_known_job_answer_for_out(chunk->job, result->version);
+	jj_known_job_note_own_out(chunk->job, result->version);
 	begin_finish(batch, chunk);
 }
 
@@ -349,7 +357,8 @@
 {
 	if (result->outcome != JJ_PLATFORM_OK ||
 	    !jj_held_chunk_load(chunk, &result->value, batch)) {
-		/* The file was durable before the job was: look again. */
+		/* The file was durable before the job was created, so the
+		 * read is retried. */
 		jj_actions_add_event(out, "batch_part_unreadable",
 		    "job=%s chunk=%u", chunk->job->job.id, chunk->number);
 		chunk->retry_at_ms =
@@ -362,9 +371,10 @@
 }
 
 /*
- * A worker frozen past its lease wakes and publishes beside its successor:
- * two results for one item. The out object is only ever created, so that
- * the first stands; the other's results are dropped whole.
+ * A worker that was paused past its lease may publish as well as its
+ * successor, which would give an item two results. The out object is only
+ * ever created, so the first one is kept and the results of the other worker
+ * are dropped.
  */
 static void
 take_out_check(jj_batch_t *batch, jj_held_chunk_t *chunk,
@@ -380,7 +390,7 @@
 	else
 		batch->counts.publish_conflicts++;
 	(void)jj_out_count(&result->value, &chunk->counts);
-	jj_known_job_answer_for_out(chunk->job, result->version);
+	jj_known_job_note_own_out(chunk->job, result->version);
 	begin_finish(batch, chunk);
 }
 
--- a/src/core/batch_items.c
+++ b/src/core/batch_items.c
@@ -1,6 +1,6 @@
 /**
  * @file batch_items.c
- * @brief Items of a held chunk: loading, offering, ending.
+ * @brief Items of a held chunk: loads, sends and ends them.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -8,35 +8,40 @@
 
 #include "core/batch_worker.h"
 
-/** Runs turned away before an item is given up; hours, as waits double. */
+/**
+ * Runs without acceptance by a backend server before an item fails. Takes
+ * hours, as the waits between them double.
+ */
 #define NOT_RUN_MAX 200
-/** Longest wait before an item's next run: item_retry_ms doubled so often. */
-#define ITEM_DOUBLINGS 6
-/** Items turned away so often make a chunk stalled. */
-#define STALLED_AFTER 3
+/** item_retry_ms is doubled at most this many times. */
+#define ITEM_DOUBLINGS_MAX 6
+/** A chunk is stalled when no open item was accepted in so many runs. */
+#define STALLED_NOT_RUN_MIN 3
 
-/** A chunk that finds no room is given back after, ms. */
+/** A chunk blocked for lack of free capacity is released after this time. */
 #define BLOCKED_RELEASE_MS 10000
-/** The same when this VM has no share in what is left of it. */
+/** The same when this VM has no share in the services of its open items. */
 #define NO_SHARE_RELEASE_MS 500
 
 static void note_blocked(const jj_batch_t *, jj_held_chunk_t *, jj_ms_t);
 static uint32_t reserved_elsewhere(const jj_batch_t *, const jj_held_chunk_t *);
-static bool may_offer(const jj_batch_t *, const jj_held_chunk_t *, jj_ms_t);
+static bool
+may_send_items(const jj_batch_t *, const jj_held_chunk_t *, jj_ms_t);
 static bool is_idempotent(const jj_batch_t *, const jj_batch_item_t *);
 static void
-offer_item(jj_batch_t *, jj_held_chunk_t *, uint32_t, bool, jj_actions_t *);
+send_item(jj_batch_t *, jj_held_chunk_t *, uint32_t, bool, jj_actions_t *);
 static void load_item(jj_batch_t *, jj_held_chunk_t *, uint32_t, json_t *);
 static const char *custom_id(const jj_batch_item_t *);
 static void
-end_with(jj_batch_t *, jj_held_chunk_t *, uint32_t, jj_item_result_t);
+set_result(jj_batch_t *, jj_held_chunk_t *, uint32_t, jj_item_result_t);
 static void end_run(jj_batch_t *, jj_held_chunk_t *, uint32_t,
     jj_item_outcome_t, int, const jj_bytes_t *, jj_ms_t);
 static void
 end_done(jj_batch_t *, jj_held_chunk_t *, uint32_t, int, const jj_bytes_t *);
-static void end_broken(jj_batch_t *, jj_held_chunk_t *, uint32_t, jj_ms_t);
+static void
+end_outcome_unknown(jj_batch_t *, jj_held_chunk_t *, uint32_t, jj_ms_t);
 static void end_not_run(jj_batch_t *, jj_held_chunk_t *, uint32_t, jj_ms_t);
-static void wait_for_next(jj_batch_t *, jj_batch_item_t *, uint32_t, jj_ms_t);
+static void schedule_retry(jj_batch_t *, jj_batch_item_t *, uint32_t, jj_ms_t);
 
 bool
 jj_held_chunk_load(
@@ -54,24 +59,25 @@
 }
 
 void
-jj_held_chunk_offer(
+jj_held_chunk_send_items(
     jj_batch_t *batch, jj_held_chunk_t *chunk, jj_ms_t now, jj_actions_t *out)
 {
 	uint32_t i;
 
-	if (!may_offer(batch, chunk, now))
+	if (!may_send_items(batch, chunk, now))
 		return;
 	note_blocked(batch, chunk, now);
-	for (i = 0; i < chunk->count && batch->room > 0; i++) {
+	for (i = 0; i < chunk->count && batch->free_capacity > 0; i++) {
 		jj_batch_item_t *item = &chunk->items[i];
 		bool idempotent;
 
 		if (item->state != JJ_ITEM_OPEN || now < item->ready_at_ms ||
-		    !jj_batch_room_has(&batch->service_room, item->service))
+		    !jj_batch_capacity_has_free(
+			&batch->service_capacity, item->service))
 			continue;
 		idempotent = is_idempotent(batch, item);
-		if (idempotent || item->cleared)
-			offer_item(batch, chunk, i, idempotent, out);
+		if (idempotent || item->start_confirmed)
+			send_item(batch, chunk, i, idempotent, out);
 	}
 }
 
@@ -82,34 +88,34 @@
 
 	for (i = 0; i < chunk->count && chunk->running > 0; i++) {
 		if (chunk->items[i].state == JJ_ITEM_RUNNING)
-			jj_batch_room_count(
-			    &batch->service_room, chunk->items[i].service);
+			jj_batch_capacity_add_running(
+			    &batch->service_capacity, chunk->items[i].service);
 	}
 }
 
 /*
- * A chunk whose rest is of services that this VM has no share in would keep
- * its claim for ever: its lease is renewed, so nobody takes it, and its items
- * find no room. It is given back soon; one that only waits for a burst to
- * pass is given back later, as another VM may have room.
+ * If this VM has no share in the services of a chunk's open items, they never
+ * run here. Its lease would be renewed forever, so that no other VM could
+ * claim it. Such a chunk is released soon. One that only waits for the end of
+ * a burst is released later, as another VM may have free capacity.
  */
 bool
-jj_held_chunk_wants_release(
+jj_held_chunk_should_release(
     const jj_batch_t *batch, const jj_held_chunk_t *chunk, jj_ms_t now)
 {
 	uint32_t i;
 
-	if (chunk->phase != JJ_PHASE_RUN || chunk->blocked_ms == 0)
+	if (chunk->phase != JJ_PHASE_RUN || chunk->blocked_since_ms == 0)
 		return false;
-	if (now - chunk->blocked_ms >= BLOCKED_RELEASE_MS)
+	if (now - chunk->blocked_since_ms >= BLOCKED_RELEASE_MS)
 		return true;
 	for (i = 0; i < chunk->count; i++) {
 		if (chunk->items[i].state == JJ_ITEM_OPEN &&
-		    jj_batch_room_has_share(
-			&batch->service_room, chunk->items[i].service))
+		    jj_batch_capacity_has_share(
+			&batch->service_capacity, chunk->items[i].service))
 			return false;
 	}
-	return now - chunk->blocked_ms >= NO_SHARE_RELEASE_MS;
+	return now - chunk->blocked_since_ms >= NO_SHARE_RELEASE_MS;
 }
 
 void
@@ -120,41 +126,45 @@
 	for (i = 0; i < chunk->count; i++) {
 		jj_batch_item_t *item = &chunk->items[i];
 
-		if (item->state != JJ_ITEM_OPEN || !item->cleared ||
-		    item->offered)
+		if (item->state != JJ_ITEM_OPEN || !item->start_confirmed ||
+		    item->was_sent)
 			continue;
-		item->cleared = false;
+		item->start_confirmed = false;
 		chunk->started[i] = false;
 	}
 }
 
 /*
- * A VM may be lost after it has sent a non-idempotent item: sent again by
- * the next holder, it would book its pallets twice. So the item is recorded
- * as started, in a confirmed write on the claim's own version, before it is
- * offered. A holder that has lost its claim fails at that write, and the
- * next holder sees the mark and never sends the item.
+ * A VM may fail after it has sent a non-idempotent item. If the next holder
+ * sent it again, it would, for example, book its pallets twice. So the item
+ * is recorded as started, by an update on the version of this VM's claim, and
+ * is sent only once that update is confirmed. The update fails if the claim
+ * was lost, and the next holder never sends an item that has the mark.
  */
 uint32_t
-jj_held_chunk_mark(jj_batch_t *batch, jj_held_chunk_t *chunk, jj_ms_t now)
+jj_held_chunk_mark_started(
+    jj_batch_t *batch, jj_held_chunk_t *chunk, jj_ms_t now)
 {
 	uint32_t marked = 0;
 	uint32_t wanted = 0;
 	uint32_t reserved = reserved_elsewhere(batch, chunk);
-	uint32_t room;
+	uint32_t free_capacity;
 	uint32_t i;
 
 	if (batch->leaving || jj_known_job_is_cancelled(chunk->job))
 		return 0;
-	room = reserved < batch->room ? batch->room - reserved : 0;
-	for (i = 0; i < chunk->count && wanted < room; i++) {
+	free_capacity = reserved < batch->free_capacity
+	    ? batch->free_capacity - reserved
+	    : 0;
+	for (i = 0; i < chunk->count && wanted < free_capacity; i++) {
 		jj_batch_item_t *item = &chunk->items[i];
 
 		if (item->state != JJ_ITEM_OPEN || now < item->ready_at_ms ||
-		    !jj_batch_room_has(&batch->service_room, item->service))
+		    !jj_batch_capacity_has_free(
+			&batch->service_capacity, item->service))
 			continue;
 		wanted++;
-		if (item->cleared || is_idempotent(batch, item))
+		if (item->start_confirmed || is_idempotent(batch, item))
 			continue;
 		item->state = JJ_ITEM_MARKING;
 		chunk->started[i] = true;
@@ -164,7 +174,7 @@
 }
 
 void
-jj_held_chunk_unmark(jj_held_chunk_t *chunk, bool confirmed)
+jj_held_chunk_end_marking(jj_held_chunk_t *chunk, bool confirmed)
 {
 	uint32_t i;
 
@@ -174,7 +184,7 @@
 		if (item->state != JJ_ITEM_MARKING)
 			continue;
 		item->state = JJ_ITEM_OPEN;
-		item->cleared = confirmed;
+		item->start_confirmed = confirmed;
 		chunk->started[i] = confirmed;
 	}
 }
@@ -205,7 +215,7 @@
 	uint32_t i;
 
 	jj_held_chunk_stop_items(chunk, true, out);
-	chunk->must_confirm = true;
+	chunk->must_renew = true;
 	for (i = 0; i < chunk->count; i++) {
 		jj_batch_item_t *item = &chunk->items[i];
 		bool may_have_run = item->attempts > 0 || item->withdrawn ||
@@ -213,7 +223,7 @@
 
 		if (item->state == JJ_ITEM_ENDED)
 			continue;
-		end_with(batch, chunk, i,
+		set_result(batch, chunk, i,
 		    jj_result_error(custom_id(item), "cancelled",
 			"the job was cancelled",
 			may_have_run ? "unknown" : "not_run"));
@@ -241,7 +251,7 @@
 }
 
 uint32_t
-jj_held_chunk_ready(const jj_held_chunk_t *chunk, jj_ms_t now)
+jj_held_chunk_count_ready(const jj_held_chunk_t *chunk, jj_ms_t now)
 {
 	uint32_t ready = 0;
 	uint32_t i;
@@ -268,13 +278,13 @@
 		return false;
 	for (i = 0; i < chunk->count; i++) {
 		if (chunk->items[i].state != JJ_ITEM_ENDED &&
-		    chunk->items[i].not_run < STALLED_AFTER)
+		    chunk->items[i].not_run_count < STALLED_NOT_RUN_MIN)
 			return false;
 	}
 	return true;
 }
 
-/* Items of other chunks that are recorded as started and not sent yet. */
+/* Counts items of other chunks that are marked as started and not sent yet. */
 static uint32_t
 reserved_elsewhere(const jj_batch_t *batch, const jj_held_chunk_t *chunk)
 {
@@ -288,7 +298,8 @@
 			const jj_batch_item_t *item = &other->items[i];
 
 			if (item->state == JJ_ITEM_MARKING ||
-			    (item->state == JJ_ITEM_OPEN && item->cleared))
+			    (item->state == JJ_ITEM_OPEN &&
+				item->start_confirmed))
 				reserved++;
 		}
 	}
@@ -296,13 +307,14 @@
 }
 
 /*
- * A holder that was frozen past its lease may have lost the chunk without
- * knowing it, and would start work that another does already: it starts
- * nothing until its next write is confirmed. While the platform cannot be
- * reached nobody can take the chunk over, so idempotent items go on.
+ * A holder that was paused past its lease may have lost the chunk without
+ * knowing it, and would run items that another VM already runs. So it starts
+ * nothing until its next write is confirmed. While the platform is
+ * unreachable no VM can take the chunk over, so idempotent items still run.
  */
 static bool
-may_offer(const jj_batch_t *batch, const jj_held_chunk_t *chunk, jj_ms_t now)
+may_send_items(
+    const jj_batch_t *batch, const jj_held_chunk_t *chunk, jj_ms_t now)
 {
 	if (chunk->phase != JJ_PHASE_RUN && chunk->phase != JJ_PHASE_CHECK_JOB)
 		return false;
@@ -320,7 +332,10 @@
 		batch->idempotent_ctx, item->line.service.text);
 }
 
-/* Since when no item of the chunk runs and none that could finds room. */
+/*
+ * Notes since when no item of the chunk runs, and none of its open items has
+ * free capacity.
+ */
 static void
 note_blocked(const jj_batch_t *batch, jj_held_chunk_t *chunk, jj_ms_t now)
 {
@@ -335,32 +350,33 @@
 		if (item->state != JJ_ITEM_OPEN)
 			continue;
 		waits = true;
-		if (jj_batch_room_has(&batch->service_room, item->service))
+		if (jj_batch_capacity_has_free(
+			&batch->service_capacity, item->service))
 			break;
 	}
 	if (!waits || chunk->running > 0 || i < chunk->count)
-		chunk->blocked_ms = 0;
-	else if (chunk->blocked_ms == 0)
-		chunk->blocked_ms = now;
+		chunk->blocked_since_ms = 0;
+	else if (chunk->blocked_since_ms == 0)
+		chunk->blocked_since_ms = now;
 }
 
 static void
-offer_item(jj_batch_t *batch, jj_held_chunk_t *chunk, uint32_t index,
+send_item(jj_batch_t *batch, jj_held_chunk_t *chunk, uint32_t index,
     bool idempotent, jj_actions_t *out)
 {
 	jj_batch_item_t *item = &chunk->items[index];
 	jj_action_t *action = jj_actions_add(out, JJ_ACTION_ITEM_READY);
 	const jj_batch_line_t *line = &item->line;
 
-	if (item->offered)
+	if (item->was_sent)
 		batch->counts.items_rerun++;
 	item->state = JJ_ITEM_RUNNING;
 	item->idempotent = idempotent;
-	item->offered = true;
+	item->was_sent = true;
 	item->run = ++batch->next_item;
 	chunk->running++;
-	batch->room--;
-	jj_batch_room_count(&batch->service_room, item->service);
+	batch->free_capacity--;
+	jj_batch_capacity_add_running(&batch->service_capacity, item->service);
 	action->body.item.item = item->run;
 	action->body.item.service = line->service;
 	action->body.item.team = chunk->job->job.team;
@@ -382,17 +398,17 @@
 	bool known = jj_batch_line_decode(
 	    &item->line, line != NULL ? line : "", &chunk->job->job.service);
 
-	item->service =
-	    jj_batch_room_place(&batch->service_room, item->line.service.text);
+	item->service = jj_batch_capacity_index(
+	    &batch->service_capacity, item->line.service.text);
 	if (item->state == JJ_ITEM_ENDED)
 		return;
 	if (chunk->started[index])
-		end_with(batch, chunk, index,
+		set_result(batch, chunk, index,
 		    jj_result_error(custom_id(item), "outcome_unknown",
 			"it may have been sent before its worker was lost",
 			"unknown"));
 	else if (!known)
-		end_with(batch, chunk, index,
+		set_result(batch, chunk, index,
 		    jj_result_error(custom_id(item), "invalid_line",
 			"the line names no service or has no body", "not_run"));
 }
@@ -406,7 +422,7 @@
 }
 
 static void
-end_with(jj_batch_t *batch, jj_held_chunk_t *chunk, uint32_t index,
+set_result(jj_batch_t *batch, jj_held_chunk_t *chunk, uint32_t index,
     jj_item_result_t result)
 {
 	chunk->items[index].state = JJ_ITEM_ENDED;
@@ -429,13 +445,13 @@
 		end_done(batch, chunk, index, status, body);
 		break;
 	case JJ_ITEM_REFUSED:
-		end_with(batch, chunk, index,
+		set_result(batch, chunk, index,
 		    jj_result_error(custom_id(item), "refused",
 			body != NULL && body->data != NULL ? body->data : "",
 			"unknown"));
 		break;
 	case JJ_ITEM_POISON:
-		end_with(batch, chunk, index,
+		set_result(batch, chunk, index,
 		    jj_result_error(custom_id(item), "quarantined",
 			"it crashes backend servers", "unknown"));
 		break;
@@ -444,15 +460,15 @@
 		break;
 	case JJ_ITEM_WITHDRAWN:
 		item->withdrawn = true;
-		/* A withdrawn run may have begun: only an idempotent item
-		 * may run again. */
+		/* The run may have begun before it was withdrawn: only an
+		 * idempotent item may run again. */
 		if (!item->idempotent)
-			end_broken(batch, chunk, index, now);
+			end_outcome_unknown(batch, chunk, index, now);
 		else
-			wait_for_next(batch, item, 0, now);
+			schedule_retry(batch, item, 0, now);
 		break;
 	default:
-		end_broken(batch, chunk, index, now);
+		end_outcome_unknown(batch, chunk, index, now);
 		break;
 	}
 }
@@ -465,28 +481,28 @@
 
 	(void)snprintf(request_id, sizeof(request_id), "%s-%06u-%u",
 	    chunk->job->job.id, chunk->number, index);
-	end_with(batch, chunk, index,
+	set_result(batch, chunk, index,
 	    jj_result_answered(
 		custom_id(&chunk->items[index]), request_id, status, body));
 }
 
 static void
-end_broken(
+end_outcome_unknown(
     jj_batch_t *batch, jj_held_chunk_t *chunk, uint32_t index, jj_ms_t now)
 {
 	jj_batch_item_t *item = &chunk->items[index];
 
 	item->attempts++;
 	if (!item->idempotent)
-		end_with(batch, chunk, index,
+		set_result(batch, chunk, index,
 		    jj_result_error(custom_id(item), "outcome_unknown",
 			"the run broke and may not be repeated", "unknown"));
 	else if (item->attempts >= batch->settings.item_attempts)
-		end_with(batch, chunk, index,
+		set_result(batch, chunk, index,
 		    jj_result_error(custom_id(item), "attempts_used_up",
 			"each run broke", "unknown"));
 	else
-		wait_for_next(batch, item, item->attempts - 1, now);
+		schedule_retry(batch, item, item->attempts - 1, now);
 }
 
 static void
@@ -495,22 +511,22 @@
 {
 	jj_batch_item_t *item = &chunk->items[index];
 
-	if (++item->not_run >= NOT_RUN_MAX)
-		end_with(batch, chunk, index,
+	if (++item->not_run_count >= NOT_RUN_MAX)
+		set_result(batch, chunk, index,
 		    jj_result_error(custom_id(item), "not_accepted",
 			"no backend server took it", "unknown"));
 	else
-		wait_for_next(batch, item, item->not_run - 1, now);
+		schedule_retry(batch, item, item->not_run_count - 1, now);
 }
 
 static void
-wait_for_next(
+schedule_retry(
     jj_batch_t *batch, jj_batch_item_t *item, uint32_t doublings, jj_ms_t now)
 {
 	jj_ms_t wait;
 
-	if (doublings > ITEM_DOUBLINGS)
-		doublings = ITEM_DOUBLINGS;
+	if (doublings > ITEM_DOUBLINGS_MAX)
+		doublings = ITEM_DOUBLINGS_MAX;
 	wait = batch->settings.item_retry_ms << doublings;
 	wait += (jj_ms_t)(jj_operations_next(&batch->operations) %
 	    (uint64_t)(wait / 4 + 1));
--- a/src/core/batch_job_steps.c
+++ b/src/core/batch_job_steps.c
@@ -1,6 +1,6 @@
 /**
  * @file batch_job_steps.c
- * @brief The calls that find jobs, refresh their views and close them.
+ * @brief The platform calls that find jobs, refresh their views, close them.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -8,21 +8,22 @@
 
 #include "core/batch_worker.h"
 
-/** Keys in one page of the index of active jobs; the platform's most. */
+/** Keys in one page of the index of active jobs; the platform's maximum. */
 #define LIST_PAGE 1000
-/** Records in one page of a job's sum: some hundred bytes each when done. */
+/** Records, with values, in one page of the sum; a done one has some hundred
+ * bytes. */
 #define SUM_PAGE 200
 /**
- * A job known for long is looked at each relist_ms / this: a net below the
- * hints, which all VMs spread.
+ * Every relist_ms / this, on average, the views of one job are refreshed, in
+ * case its events were lost. Random times spread the calls of all VMs.
  */
-#define REFRESHES_PER_RELIST 2
-/** Events were lost: the index is listed within relist_ms / this. */
-#define LOST_PER_RELIST 16
+#define REFRESH_DIVISOR 2
+/** After lost events the index is listed within relist_ms / this. */
+#define LOST_EVENTS_DIVISOR 16
 
 static void step_listing(jj_batch_t *, jj_ms_t, jj_actions_t *);
 static void take_listing(jj_batch_t *, const jj_platform_result_t *, jj_ms_t);
-static jj_ms_t spread(jj_batch_t *, jj_ms_t);
+static jj_ms_t random_delay(jj_batch_t *, jj_ms_t);
 static void start_refresh_of_stalest(jj_batch_t *, jj_ms_t);
 static bool is_before(const jj_known_job_t *, const jj_known_job_t *);
 static void step_job(jj_batch_t *, jj_known_job_t *, jj_ms_t, jj_actions_t *);
@@ -37,7 +38,7 @@
     const jj_platform_result_t *, jj_ms_t, jj_actions_t *);
 static void take_job(jj_batch_t *, jj_known_job_t *,
     const jj_platform_result_t *, jj_ms_t, jj_actions_t *);
-static void take_no_job(jj_batch_t *, jj_known_job_t *, jj_ms_t);
+static void take_absent_job(jj_batch_t *, jj_known_job_t *, jj_ms_t);
 static void take_list(jj_known_job_t *, const jj_platform_result_t *, jj_ms_t);
 static uint32_t chunk_of(const jj_known_job_t *, const jj_platform_item_t *);
 static bool take_page(jj_known_job_t *, const jj_platform_result_t *);
@@ -47,8 +48,8 @@
 static void take_close(jj_known_job_t *, const jj_platform_result_t *);
 static void take_refreshed(jj_known_job_t *, jj_ms_t);
 static bool is_finished(const jj_known_job_t *);
-static void sum_on(jj_known_job_t *);
-static void rest(jj_known_job_t *);
+static void continue_sum(jj_known_job_t *);
+static void set_idle(jj_known_job_t *);
 
 void
 jj_job_table_step(jj_batch_t *batch, jj_ms_t now, jj_actions_t *out)
@@ -93,7 +94,7 @@
 		next = table->list_at_ms;
 	TAILQ_FOREACH(known, &table->list, link)
 	{
-		if (known->token == 0 && known->step != JJ_STEP_REST &&
+		if (known->token == 0 && known->step != JJ_STEP_IDLE &&
 		    known->retry_at_ms < next)
 			next = known->retry_at_ms;
 	}
@@ -118,8 +119,9 @@
 jj_job_table_relist(jj_batch_t *batch, jj_ms_t now)
 {
 	jj_job_table_t *table = &batch->jobs;
-	jj_ms_t at =
-	    now + spread(batch, batch->settings.relist_ms / LOST_PER_RELIST);
+	jj_ms_t at = now +
+	    random_delay(
+		batch, batch->settings.relist_ms / LOST_EVENTS_DIVISOR);
 
 	table->list_again = table->token != 0 || table->after[0] != '\0';
 	if (!table->list_again && at < table->list_at_ms)
@@ -127,8 +129,9 @@
 }
 
 /*
- * Hundreds of VMs that were started or cut off together would list in step,
- * and meet the platform's rate limit in step: each waits a time of its own.
+ * Hundreds of VMs that were started or disconnected together would list at
+ * the same times and together exceed the platform's rate limit. So each waits
+ * a random time between listings.
  */
 static void
 take_listing(jj_batch_t *batch, const jj_platform_result_t *result, jj_ms_t now)
@@ -158,23 +161,24 @@
 		return;
 	}
 	table->after[0] = '\0';
-	table->list_at_ms = now + relist_ms / 2 + spread(batch, relist_ms);
+	table->list_at_ms =
+	    now + relist_ms / 2 + random_delay(batch, relist_ms);
 	if (table->list_again)
 		jj_job_table_relist(batch, now);
 }
 
-/* A time from 0 to below @p most_ms, from the own seed. */
+/* Random time from 0 to @p max_ms, from this VM's seed. */
 static jj_ms_t
-spread(jj_batch_t *batch, jj_ms_t most_ms)
+random_delay(jj_batch_t *batch, jj_ms_t max_ms)
 {
 	return (jj_ms_t)(jj_operations_next(&batch->operations) %
-	    (uint64_t)(most_ms + 1));
+	    (uint64_t)(max_ms + 1));
 }
 
 /*
- * The worker that published the last chunk may die before it closes the job:
- * callers then see a job that never completes. So each worker looks again,
- * now and then, at the job it has not looked at for longest.
+ * The worker that published the last chunk may fail before it closes the job,
+ * and callers would see a job that never completes. So each worker
+ * periodically refreshes the job that it has not refreshed for longest.
  */
 static void
 start_refresh_of_stalest(jj_batch_t *batch, jj_ms_t now)
@@ -185,11 +189,11 @@
 	if (now < batch->jobs.refresh_at_ms || batch->leaving)
 		return;
 	batch->jobs.refresh_at_ms = now +
-	    batch->settings.relist_ms / REFRESHES_PER_RELIST / 2 +
-	    spread(batch, batch->settings.relist_ms / REFRESHES_PER_RELIST);
+	    batch->settings.relist_ms / REFRESH_DIVISOR / 2 +
+	    random_delay(batch, batch->settings.relist_ms / REFRESH_DIVISOR);
 	TAILQ_FOREACH(known, &batch->jobs.list, link)
 	{
-		if (!known->loaded || known->step != JJ_STEP_REST)
+		if (!known->loaded || known->step != JJ_STEP_IDLE)
 			continue;
 		if (now - known->refreshed_ms < batch->settings.relist_ms)
 			continue;
@@ -199,10 +203,10 @@
 	if (stalest == NULL)
 		return;
 	stalest->wants_refresh = true;
-	stalest->checks = true;
+	stalest->periodic_refresh = true;
 }
 
-/* First those of which, as far as is known, nothing but the end is left. */
+/* Jobs that, by the known views, only need to be closed come first. */
 static bool
 is_before(const jj_known_job_t *a, const jj_known_job_t *b)
 {
@@ -215,11 +219,11 @@
 step_job(
     jj_batch_t *batch, jj_known_job_t *known, jj_ms_t now, jj_actions_t *out)
 {
-	if (known->step == JJ_STEP_REST && known->wants_refresh) {
+	if (known->step == JJ_STEP_IDLE && known->wants_refresh) {
 		known->step = JJ_STEP_READ;
 		known->wants_refresh = false;
 	}
-	if (known->token != 0 || known->step == JJ_STEP_REST ||
+	if (known->token != 0 || known->step == JJ_STEP_IDLE ||
 	    now < known->retry_at_ms || batch->leaving)
 		return;
 	switch (known->step) {
@@ -242,12 +246,12 @@
 	case JJ_STEP_DELETE_ENTRY:
 		send_delete(batch, known, out);
 		break;
-	case JJ_STEP_REST:
+	case JJ_STEP_IDLE:
 		break;
 	}
 }
 
-/* The job's object, or the out object to be summed. */
+/* Reads the job's object, or the out object of the next chunk to sum up. */
 static void
 send_get(jj_batch_t *batch, jj_known_job_t *known, jj_actions_t *out)
 {
@@ -276,8 +280,8 @@
 }
 
 /*
- * The records come with their values: one call for hundreds of chunks, where
- * a get for each would take a large job's end half a minute.
+ * Lists the records with their values: one call for hundreds of chunks. A get
+ * for each would take half a minute at the end of a large job.
  */
 static void
 send_sum(jj_batch_t *batch, jj_known_job_t *known, jj_actions_t *out)
@@ -289,8 +293,9 @@
 }
 
 /*
- * An ended job's entry may be deleted whatever its version: a resend that
- * meets it adds nothing. An orphan's only as it was seen.
+ * The entry of an ended job may be deleted in any version, as a resent
+ * submission does not need it. An entry without a job is deleted only in the
+ * version that was listed.
  */
 static void
 send_delete(jj_batch_t *batch, jj_known_job_t *known, jj_actions_t *out)
@@ -304,7 +309,7 @@
 		call->version = known->entry_version;
 }
 
-/* The job as it ends; shares what the known job owns. */
+/* The job in its final state; shares the memory that the known job owns. */
 static jj_job_t
 closed_job(const jj_known_job_t *known)
 {
@@ -330,7 +335,7 @@
 	jj_operations_next_text(&batch->operations, job.operation);
 	(void)snprintf(
 	    call->key, sizeof(call->key), "jobs/%s/job", known->job.id);
-	known->closing = true;
+	known->close_sent = true;
 	call->version = known->job.version;
 	call->value = jj_job_encode(&job, batch->settings.writer);
 }
@@ -346,7 +351,7 @@
 	if (!answered) {
 		known->retry_at_ms = jj_batch_backoff(
 		    batch, ++known->failures, result->retry_after_ms, now);
-		/* An unsure close is settled by reading the job again. */
+		/* The close may have been applied: the job is read again. */
 		if (known->step == JJ_STEP_CLOSE)
 			known->step = JJ_STEP_READ;
 		return;
@@ -370,8 +375,8 @@
 		take_close(known, result);
 		break;
 	case JJ_STEP_DELETE_ENTRY:
-	case JJ_STEP_REST:
-		rest(known);
+	case JJ_STEP_IDLE:
+		set_idle(known);
 		break;
 	}
 }
@@ -382,23 +387,24 @@
 {
 	bool first = !known->loaded;
 
-	rest(known);
+	set_idle(known);
 	known->after[0] = '\0';
 	if (result->outcome == JJ_PLATFORM_ABSENT)
-		take_no_job(batch, known, now);
+		take_absent_job(batch, known, now);
 	if (result->outcome != JJ_PLATFORM_OK ||
 	    !jj_known_job_update(
 		batch, known, &result->value, result->version, now, out))
 		return;
 	if (jj_job_has_ended(&known->job)) {
 		/*
-		 * Who closed it, or found its entry after its end: hundreds
-		 * of VMs that saw it run would delete it at once.
+		 * Only a VM that may have closed the job, or that first found
+		 * it by its entry after its end, deletes the entry. Otherwise
+		 * hundreds of VMs that knew it as running would.
 		 */
-		if (known->closing || (first && known->entry_version != 0))
+		if (known->close_sent || (first && known->entry_version != 0))
 			known->step = JJ_STEP_DELETE_ENTRY;
 	} else if (first && known->created) {
-		/* New: there is nothing to list, and events tell the rest. */
+		/* A new job has nothing to list yet; events follow. */
 		known->refreshed_ms = now > 0 ? now : 1;
 	} else {
 		known->step = JJ_STEP_LIST_OUTS;
@@ -406,7 +412,7 @@
 }
 
 static void
-take_no_job(jj_batch_t *batch, jj_known_job_t *known, jj_ms_t now)
+take_absent_job(jj_batch_t *batch, jj_known_job_t *known, jj_ms_t now)
 {
 	if (!known->loaded && jj_job_table_is_orphan(&batch->jobs, known, now))
 		known->step = JJ_STEP_DELETE_ENTRY;
@@ -423,8 +429,8 @@
 		const jj_platform_item_t *item = &result->items[i];
 		uint32_t chunk = chunk_of(known, item);
 
-		if (outs && known->last_out < item->version)
-			known->last_out = item->version;
+		if (outs && known->last_out_version < item->version)
+			known->last_out_version = item->version;
 		if (chunk >= known->job.part_count ||
 		    known->views[chunk] == JJ_VIEW_HELD ||
 		    known->views[chunk] == JJ_VIEW_OUT)
@@ -434,12 +440,12 @@
 			continue;
 		}
 		jj_known_job_set_view(known, chunk, JJ_VIEW_CLAIMED);
-		(void)jj_known_job_see_claim(known, chunk, item->version, now);
+		(void)jj_known_job_note_claim(known, chunk, item->version, now);
 	}
 	if (take_page(known, result))
 		return;
 	known->step = JJ_STEP_LIST_CLAIMS;
-	/* With all results there, the claims tell nothing more. */
+	/* With all out objects present, listing the claims adds nothing. */
 	if (!outs || known->open_count + known->claimed_count == 0)
 		take_refreshed(known, now);
 }
@@ -454,7 +460,7 @@
 	return (uint32_t)strtoul(number + 1, NULL, 10);
 }
 
-/* True when the list goes on. */
+/* True when the list has another page. */
 static bool
 take_page(jj_known_job_t *known, const jj_platform_result_t *result)
 {
@@ -467,20 +473,22 @@
 }
 
 /*
- * All who end a chunk near the job's end look whether it was the last. The
- * one that answers for the newest out object sums up and closes the job; the
- * others would only do the same again. Should that one be lost, the look
- * that each takes now and then closes the job.
+ * All workers that end a chunk near the job's end check whether the job is
+ * finished. Only the one that published the newest out object, or finished
+ * for its publisher, sums up and closes the job, as the others would repeat
+ * the same calls. If that worker fails, a periodic refresh by another worker
+ * closes the job.
  */
 static void
 take_refreshed(jj_known_job_t *known, jj_ms_t now)
 {
-	bool closes = known->checks || known->own_out >= known->last_out;
+	bool closes = known->periodic_refresh ||
+	    known->own_out_version >= known->last_out_version;
 
 	known->refreshed_ms = now > 0 ? now : 1;
-	known->behind = false;
-	known->checks = false;
-	rest(known);
+	known->views_stale = false;
+	known->periodic_refresh = false;
+	set_idle(known);
 	if (!is_finished(known) || !closes)
 		return;
 	memset(&known->sum, 0, sizeof(known->sum));
@@ -491,9 +499,9 @@
 }
 
 /*
- * A cancelled job is finished once each chunk that was ever claimed has its
- * out object. A claim made after the cancel cannot be missed here: its holder
- * reads the job after the claim and starts nothing.
+ * A cancelled job is finished once each claimed chunk has its out object. A
+ * claim that is made after the cancel and not seen here does no harm: its
+ * holder reads the job after the claim and starts nothing.
  */
 static bool
 is_finished(const jj_known_job_t *known)
@@ -505,9 +513,9 @@
 	return known->open_count == 0 || jj_known_job_is_cancelled(known);
 }
 
-/* Goes on with the next out object not counted yet, or closes the job. */
+/* Continues with the next out object not counted yet, or closes the job. */
 static void
-sum_on(jj_known_job_t *known)
+continue_sum(jj_known_job_t *known)
 {
 	while (known->sum_next < known->job.part_count &&
 	    (known->views[known->sum_next] != JJ_VIEW_OUT ||
@@ -518,8 +526,8 @@
 }
 
 /*
- * A done record carries the counts. A holder that died between its out
- * object and that record left none: the out object itself is counted.
+ * A done record has the counts of its chunk. If the holder failed between its
+ * out object and that record, the out object itself is counted.
  */
 static void
 take_records(jj_known_job_t *known, const jj_platform_result_t *result)
@@ -538,7 +546,7 @@
 		jj_chunk_record_clear(&record);
 	}
 	if (!take_page(known, result))
-		sum_on(known);
+		continue_sum(known);
 }
 
 static void
@@ -562,16 +570,17 @@
 	if (result->outcome == JJ_PLATFORM_OK)
 		(void)jj_out_count(&result->value, &counts);
 	add_counts(known, known->sum_next, &counts);
-	sum_on(known);
+	continue_sum(known);
 }
 
-/* Another closed it, or a cancel came first: the job is read again. */
+/* After a conflict (another worker's close, or a cancel) the job is read
+ * again. */
 static void
 take_close(jj_known_job_t *known, const jj_platform_result_t *result)
 {
 	if (result->outcome != JJ_PLATFORM_OK) {
 		known->step = JJ_STEP_READ;
-		known->closing = false;
+		known->close_sent = false;
 		return;
 	}
 	known->job = closed_job(known);
@@ -580,8 +589,8 @@
 }
 
 static void
-rest(jj_known_job_t *known)
+set_idle(jj_known_job_t *known)
 {
-	known->step = JJ_STEP_REST;
+	known->step = JJ_STEP_IDLE;
 	known->retry_at_ms = 0;
 }
--- a/src/core/batch_jobs.c
+++ b/src/core/batch_jobs.c
@@ -1,6 +1,6 @@
 /**
  * @file batch_jobs.c
- * @brief Table of known jobs, views of their chunks, choice of the next.
+ * @brief Table of known jobs, views of their chunks, choice of the next chunk.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -8,11 +8,11 @@
 
 #include "core/batch_worker.h"
 
-/** Least time between two looks at claims that have changed. */
-#define PROBE_MS 250
-/** It doubles so often while looks find nothing to take over: to 8 s. */
-#define PROBE_DOUBLINGS 5
-/** An entry's job is looked for so long at each listing, ms. */
+/** Minimum time between reads of records that have changed. */
+#define PROBE_MIN_MS 250
+/** The time doubles up to 5 times (8 s) while reads find no takeover. */
+#define PROBE_DOUBLINGS_MAX 5
+/** For so long, each listing reads the missing job of an entry again. */
 #define ORPHAN_READ_MS 60000
 
 static uint64_t id_hash(const char *);
@@ -28,7 +28,7 @@
 static bool choose_open(jj_batch_t *, jj_known_job_t *, jj_chunk_choice_t *);
 static bool
 choose_claimed(jj_batch_t *, jj_known_job_t *, jj_ms_t, jj_chunk_choice_t *);
-static void tell_chunks(jj_batch_t *, jj_known_job_t *, jj_actions_t *);
+static void notify_chunks(jj_batch_t *, jj_known_job_t *, jj_actions_t *);
 
 void
 jj_job_table_create(jj_job_table_t *table)
@@ -60,7 +60,7 @@
 }
 
 void
-jj_job_table_learn(jj_job_table_t *table, const char *id, bool created)
+jj_job_table_add_job(jj_job_table_t *table, const char *id, bool created)
 {
 	uint64_t hash = id_hash(id);
 	jj_known_job_t *known;
@@ -73,10 +73,10 @@
 }
 
 /*
- * A job that is remembered as ended and still has an entry is read again:
- * the VM that closed it was lost before it deleted the entry, and whoever
- * lists the entry deletes it. An orphan is read at each listing while its
- * job may be on its way, and again when its grace is over.
+ * A job that is remembered as ended and still has an entry is read again. The
+ * VM that closed it failed before it deleted the entry, so any VM that lists
+ * the entry deletes it. An orphan is read at each listing for as long as its
+ * job may still be created, and again after the grace period.
  */
 void
 jj_job_table_take_entry(
@@ -97,11 +97,12 @@
 }
 
 /*
- * A VM may be lost between an index entry and its job; the entry would be
- * read by each worker for ever. Deleted at once, it would be that of a
- * submission on its way, whose job no worker would then find. So it must
- * stand unchanged for the grace on the own clock, and the deletion names
- * that version: a submission that relies on an older entry writes it anew.
+ * A VM may fail after it wrote an index entry and before it created the job;
+ * each worker would read the entry forever. It can't be deleted at once: a
+ * submission may still be creating the job, which no worker would find
+ * without its entry. So the entry must be unchanged for the grace period by
+ * this VM's clock, and the deletion is conditional on its version. A
+ * submission that finds an older entry writes it again, as a new version.
  */
 bool
 jj_job_table_is_orphan(
@@ -117,10 +118,10 @@
 	    orphan->version != known->entry_version) {
 		memcpy(orphan->id, known->job.id, sizeof(orphan->id));
 		orphan->version = known->entry_version;
-		orphan->seen_ms = now;
+		orphan->first_seen_ms = now;
 	}
 	orphan->listed_ms = now > 0 ? now : 1;
-	return now - orphan->seen_ms >= JJ_ORPHAN_GRACE_MS;
+	return now - orphan->first_seen_ms >= JJ_ORPHAN_GRACE_MS;
 }
 
 void
@@ -134,32 +135,35 @@
 		if (known->held_count > 0 ||
 		    known->step == JJ_STEP_DELETE_ENTRY)
 			continue;
-		/* One that could not be read is found again by a listing. */
+		/* A job that was absent or malformed is found again by a
+		 * listing. */
 		if (known->loaded ? !jj_job_has_ended(&known->job)
-				  : known->step != JJ_STEP_REST)
+				  : known->step != JJ_STEP_IDLE)
 			continue;
 		known_job_destroy(table, known);
 	}
 }
 
 void
-jj_job_table_bury(jj_job_table_t *table, const char *writer)
+jj_job_table_mark_failed(jj_job_table_t *table, const char *writer)
 {
-	char *slot = table->dead[table->dead_next % JJ_DEAD_WRITERS];
+	char *slot = table->failed_writers[table->failed_writers_next %
+	    JJ_FAILED_WRITERS];
 
-	if (jj_job_table_is_dead(table, writer))
+	if (jj_job_table_has_failed(table, writer))
 		return;
 	(void)snprintf(slot, JJ_WRITER_TEXT, "%s", writer);
-	table->dead_next++;
+	table->failed_writers_next++;
 }
 
 bool
-jj_job_table_is_dead(const jj_job_table_t *table, const char *writer)
+jj_job_table_has_failed(const jj_job_table_t *table, const char *writer)
 {
 	int i;
 
-	for (i = 0; i < JJ_DEAD_WRITERS; i++) {
-		if (writer[0] != '\0' && strcmp(table->dead[i], writer) == 0)
+	for (i = 0; i < JJ_FAILED_WRITERS; i++) {
+		if (writer[0] != '\0' &&
+		    strcmp(table->failed_writers[i], writer) == 0)
 			return true;
 	}
 	return false;
@@ -176,11 +180,11 @@
 		if (!known->loaded)
 			continue;
 		if (known->refreshed_ms == 0) {
-			known->wants_refresh = known->step == JJ_STEP_REST;
+			known->wants_refresh = known->step == JJ_STEP_IDLE;
 			break;
 		}
-		if (known->behind) {
-			known->wants_refresh |= known->step == JJ_STEP_REST;
+		if (known->views_stale) {
+			known->wants_refresh |= known->step == JJ_STEP_IDLE;
 			continue;
 		}
 		if (choose_open(batch, known, &choice))
@@ -192,10 +196,10 @@
 }
 
 void
-jj_known_job_answer_for_out(jj_known_job_t *known, uint64_t version)
+jj_known_job_note_own_out(jj_known_job_t *known, uint64_t version)
 {
-	if (known->own_out < version)
-		known->own_out = version;
+	if (known->own_out_version < version)
+		known->own_out_version = version;
 }
 
 bool
@@ -228,7 +232,7 @@
 		insert_in_due_order(&batch->jobs, known);
 	}
 	if (known->job.state != JJ_JOB_RUNNING)
-		tell_chunks(batch, known, out);
+		notify_chunks(batch, known, out);
 	return true;
 }
 
@@ -257,7 +261,7 @@
 {
 	if (found)
 		table->probe_misses = 0;
-	else if (table->probe_misses < PROBE_DOUBLINGS)
+	else if (table->probe_misses < PROBE_DOUBLINGS_MAX)
 		table->probe_misses++;
 }
 
@@ -275,7 +279,7 @@
 }
 
 jj_seen_claim_t *
-jj_known_job_see_claim(
+jj_known_job_note_claim(
     jj_known_job_t *known, uint32_t chunk, uint64_t version, jj_ms_t now)
 {
 	jj_seen_claim_t *claim = jj_known_job_find_claim(known, chunk);
@@ -288,58 +292,60 @@
 	if (version <= claim->version)
 		return claim;
 	claim->version = version;
-	claim->seen_ms = now;
+	claim->first_seen_ms = now;
 	claim->changed = true;
 	claim->released = false;
 	return claim;
 }
 
 /*
- * A VM that is cut from this one looks dead here while it works on: two that
- * hold each other for dead would take a chunk from each other without end. A
- * process that wrote again after it was held for dead is alive.
+ * A VM that is cut off from this one seems to have failed, but may still run.
+ * Two VMs that consider each other failed would take a chunk from each other
+ * without end. So a process that has written a new version of the record
+ * since it was found failed is considered alive again.
  */
 static void
-doubt_death(jj_job_table_t *table, jj_seen_claim_t *claim)
+clear_wrong_failure(jj_job_table_t *table, jj_seen_claim_t *claim)
 {
 	int i;
 
-	if (!jj_job_table_is_dead(table, claim->holder))
+	if (!jj_job_table_has_failed(table, claim->holder))
 		return;
-	if (strcmp(claim->dead_holder, claim->holder) != 0) {
-		memcpy(claim->dead_holder, claim->holder,
-		    sizeof(claim->dead_holder));
-		claim->dead_version = claim->version;
+	if (strcmp(claim->failed_holder, claim->holder) != 0) {
+		memcpy(claim->failed_holder, claim->holder,
+		    sizeof(claim->failed_holder));
+		claim->failed_version = claim->version;
 		return;
 	}
-	if (claim->version == claim->dead_version)
+	if (claim->version == claim->failed_version)
 		return;
-	for (i = 0; i < JJ_DEAD_WRITERS; i++) {
-		if (strcmp(table->dead[i], claim->holder) == 0)
-			table->dead[i][0] = '\0';
+	for (i = 0; i < JJ_FAILED_WRITERS; i++) {
+		if (strcmp(table->failed_writers[i], claim->holder) == 0)
+			table->failed_writers[i][0] = '\0';
 	}
-	claim->dead_holder[0] = '\0';
+	claim->failed_holder[0] = '\0';
 }
 
 /*
- * A read counts more than a hint: a hint of a version that never was would
- * else keep the claim from ever lapsing.
+ * The version that was read replaces that of a hint, even if it is lower.
+ * Otherwise a hint of a version that never existed would keep the claim from
+ * lapsing.
  */
 jj_seen_claim_t *
-jj_known_job_read_claim(jj_job_table_t *table, jj_known_job_t *known,
+jj_known_job_note_record(jj_job_table_t *table, jj_known_job_t *known,
     uint32_t chunk, const jj_chunk_record_t *record, jj_ms_t now)
 {
 	jj_seen_claim_t *claim =
-	    jj_known_job_see_claim(known, chunk, record->version, now);
+	    jj_known_job_note_claim(known, chunk, record->version, now);
 
 	if (claim->version != record->version)
-		claim->seen_ms = now;
+		claim->first_seen_ms = now;
 	claim->version = record->version;
 	claim->changed = false;
 	claim->released = record->state == JJ_CHUNK_RELEASED;
 	claim->lease_ms = record->lease_ms;
 	memcpy(claim->holder, record->holder, sizeof(claim->holder));
-	doubt_death(table, claim);
+	clear_wrong_failure(table, claim);
 	return claim;
 }
 
@@ -350,11 +356,12 @@
 	jj_ms_t lease_ms = claim->lease_ms;
 
 	if (claim->released ||
-	    jj_job_table_is_dead(&batch->jobs, claim->holder))
+	    jj_job_table_has_failed(&batch->jobs, claim->holder))
 		return true;
 	if (lease_ms == 0)
 		lease_ms = batch->settings.lease_ms;
-	return now - claim->seen_ms >= lease_ms + batch->settings.margin_ms;
+	return now - claim->first_seen_ms >=
+	    lease_ms + batch->settings.margin_ms;
 }
 
 static uint64_t
@@ -363,7 +370,7 @@
 	return jj_hash_bytes(id, strlen(id), 1);
 }
 
-/* NULL when the job is known already, or there are too many. */
+/* NULL when the job is known already, or the table is full. */
 static jj_known_job_t *
 add_job(jj_job_table_t *table, const char *id)
 {
@@ -393,16 +400,16 @@
 	return NULL;
 }
 
-/* True when its job would be there by now, and the grace is not over. */
+/* True after the time of the repeated reads and before the end of the grace. */
 static bool
 is_waiting(const jj_orphan_t *orphan, jj_ms_t now)
 {
-	jj_ms_t age_ms = now - orphan->seen_ms;
+	jj_ms_t age_ms = now - orphan->first_seen_ms;
 
 	return age_ms >= ORPHAN_READ_MS && age_ms < JJ_ORPHAN_GRACE_MS;
 }
 
-/* A free slot, or that of the orphan listed longest ago. */
+/* An unused slot, or that of the orphan listed longest ago. */
 static jj_orphan_t *
 find_orphan_slot(jj_job_table_t *table)
 {
@@ -485,8 +492,8 @@
 }
 
 /*
- * Workers begin at different chunks: each takes the one that weighs most
- * for its own name, so that many idle VMs do not race for the same claim.
+ * Each worker takes the open chunk with the highest rendezvous weight for its
+ * own name, so that many idle VMs don't race for the same claim.
  */
 static bool
 choose_open(jj_batch_t *batch, jj_known_job_t *known, jj_chunk_choice_t *choice)
@@ -514,10 +521,11 @@
 }
 
 /*
- * Claims that have lapsed; and, one each PROBE_MS, those whose record was
- * never read or has changed: only the record tells that its holder is dead
- * or has released it. Most changes are renewals, and each idle VM hears of
- * all of them: looks that find nothing to take over become rarer.
+ * Chooses claims that have lapsed and, one per PROBE_MIN_MS, claims whose record
+ * was never read or has changed: only the record names its holder, which may
+ * have failed or released it. Most changes are renewals, and each idle VM
+ * gets the events of all of them, so reads become rarer while they find
+ * nothing to take over.
  */
 static bool
 choose_claimed(jj_batch_t *batch, jj_known_job_t *known, jj_ms_t now,
@@ -530,7 +538,7 @@
 		bool lapsed;
 
 		if (known->views[claim->chunk] != JJ_VIEW_CLAIMED ||
-		    now < claim->avoid_until_ms)
+		    now < claim->no_claim_until_ms)
 			continue;
 		lapsed = jj_seen_claim_has_lapsed(batch, claim, now);
 		if (!lapsed &&
@@ -538,7 +546,7 @@
 			continue;
 		if (!lapsed)
 			batch->jobs.probe_at_ms =
-			    now + (PROBE_MS << batch->jobs.probe_misses);
+			    now + (PROBE_MIN_MS << batch->jobs.probe_misses);
 		choice->job = known;
 		choice->chunk = claim->chunk;
 		choice->has_record = true;
@@ -547,9 +555,9 @@
 	return false;
 }
 
-/* A job that no longer runs stops the items held here. */
+/* Stops the items of chunks held here, as their job no longer runs. */
 static void
-tell_chunks(jj_batch_t *batch, jj_known_job_t *known, jj_actions_t *out)
+notify_chunks(jj_batch_t *batch, jj_known_job_t *known, jj_actions_t *out)
 {
 	jj_held_chunk_t *chunk;
 
--- a/src/core/batch_line.c
+++ b/src/core/batch_line.c
@@ -11,7 +11,7 @@
 /** Urls whose body names the service as its model. */
 static const char *const model_urls[] = {
     "/v1/chat/completions", "/v1/completions"};
-/** Urls of plain services: the name follows, then the path. */
+/** Prefix of urls of other services: the name follows, then the path. */
 static const char services_url[] = "/services/";
 
 static bool is_model_url(const char *);
--- a/src/core/batch_line.h
+++ b/src/core/batch_line.h
@@ -17,8 +17,10 @@
 
 /**
  * Decodes a line.
- * @param job_service the job's own service; empty: url and model decide.
- * @return false when the line names no service; custom_id is set if known.
+ * @param job_service service of the job; if empty, the line's url and model
+ * name the service.
+ * @return false when the line names no service or has no body; custom_id is
+ * set even then, if the line has one.
  */
 bool jj_batch_line_decode(
     jj_batch_line_t *line, const char *text, const jj_name_t *job_service);
--- a/src/core/batch_record.c
+++ b/src/core/batch_record.c
@@ -9,7 +9,7 @@
 
 #include "core/batch_record.h"
 
-/** Room left in an object beside its results, bytes. */
+/** Bytes reserved in an object for all but its results. */
 #define OBJECT_SLACK 1024
 
 static const char *const state_names[] = {"running", "released", "done"};
@@ -141,7 +141,7 @@
 	    string_of(document, "operation"));
 	record->fence =
 	    (uint64_t)json_integer_value(json_object_get(document, "fence"));
-	record->beat =
+	record->renewals =
 	    (uint64_t)json_integer_value(json_object_get(document, "beat"));
 	record->lease_ms =
 	    json_integer_value(json_object_get(document, "lease_ms"));
@@ -232,7 +232,7 @@
 	return decoded;
 }
 
-/* JSON strings are UTF-8: other bytes become '?', the rest is kept. */
+/* Replaces each byte that is not ASCII by '?', as the body is not UTF-8. */
 static json_t *
 body_repair(const jj_bytes_t *body)
 {
@@ -316,16 +316,16 @@
 {
 	json_t *document =
 	    json_loadb(result->text.data, result->text.size, 0, NULL);
-	jj_item_result_t small = jj_result_error(
+	jj_item_result_t replacement = jj_result_error(
 	    string_of(document, "custom_id"), "result_too_large",
 	    "the chunk's results exceed what the platform stores", "run");
 
 	json_decref(document);
 	jj_result_clear(result);
-	*result = small;
+	*result = replacement;
 }
 
-/* The record's head without its closing brace. */
+/* Writes the record's scalar fields, without the closing brace. */
 static void
 head_write(jj_buffer_t *text, const jj_chunk_record_t *record)
 {
@@ -335,7 +335,7 @@
 	    "{\"holder\":\"%s\",\"fence\":%llu,\"lease_ms\":%lld,"
 	    "\"beat\":%llu,\"state\":\"%s\"",
 	    record->holder, (unsigned long long)record->fence,
-	    (long long)record->lease_ms, (unsigned long long)record->beat,
+	    (long long)record->lease_ms, (unsigned long long)record->renewals,
 	    state_names[record->state]);
 	text_format(text,
 	    ",\"done\":%u,\"failed\":%u,\"cancelled\":%u,"
@@ -360,7 +360,10 @@
 	text_format(text, "]");
 }
 
-/* Writes results of (un)started items that fit; returns the bytes left. */
+/*
+ * Writes the results that fit, of items whose start mark equals `of_started`.
+ * Returns the bytes left.
+ */
 static size_t
 results_write(jj_buffer_t *text, const jj_item_result_t *results,
     const bool *started, uint32_t count, size_t left, bool of_started,
--- a/src/core/batch_room.h
+++ b/src/core/batch_room.h
@@ -1,24 +1,25 @@
 /**
  * @file batch_room.h
- * @brief How many items of each service the batch worker may have out.
+ * @brief How many items of each service the batch worker may run.
  *
- * A VM has a batch share only of the backend servers that it is steward of.
- * Room is therefore counted by service: an item of a service in which this VM
- * has no share must not hold the room of others, nor wait here for ever.
+ * A VM has a batch share only of the backend servers that it is the steward
+ * of. Capacity is therefore counted by service: an item of a service in which
+ * this VM has no share must not use the capacity of others, nor wait here
+ * forever.
  */
 #ifndef JJ_CORE_BATCH_ROOM_H
 #define JJ_CORE_BATCH_ROOM_H
 
 #include "core/types.h"
 
-/** Most services told apart; items of further ones share the last place. */
+/** Maximum of services counted apart; further ones share the last entry. */
 #define JJ_BATCH_SERVICES_MAX 256
 
 /** One service that items of held chunks belong to. */
 typedef struct {
 	jj_name_t name;
-	uint32_t running; /**< items out, as of this round */
-	int32_t limit; /**< items that may be out, -1: no share here */
+	uint32_t running; /**< items running, counted in this round */
+	int32_t limit; /**< maximum of running items; -1: no share here */
 } jj_batch_service_t;
 
 typedef struct {
@@ -26,17 +27,21 @@
 	void *ctx;
 	uint32_t count;
 	jj_batch_service_t services[JJ_BATCH_SERVICES_MAX];
-} jj_batch_room_t;
+} jj_batch_capacity_t;
 
-/** The service's place in the table, which stays the same. */
-uint32_t jj_batch_room_place(jj_batch_room_t *room, const char *service);
-/** Begins a round: asks for limits, forgets counts. */
-void jj_batch_room_begin(jj_batch_room_t *room);
-/** Counts an item that is out. */
-void jj_batch_room_count(jj_batch_room_t *room, uint32_t place);
-/** True when one more item may go out. */
-bool jj_batch_room_has(const jj_batch_room_t *room, uint32_t place);
-/** True when this VM has a share of the service's servers. */
-bool jj_batch_room_has_share(const jj_batch_room_t *room, uint32_t place);
+/** Index of the service in the table, added if missing; it never changes. */
+uint32_t
+jj_batch_capacity_index(jj_batch_capacity_t *capacity, const char *service);
+/** Begins a round: queries the limits and resets the counts. */
+void jj_batch_capacity_begin_round(jj_batch_capacity_t *capacity);
+/** Counts a running item. */
+void
+jj_batch_capacity_add_running(jj_batch_capacity_t *capacity, uint32_t index);
+/** True when one more item of the service may run. */
+bool
+jj_batch_capacity_has_free(const jj_batch_capacity_t *capacity, uint32_t index);
+/** True when this VM has a share of the service's backend servers. */
+bool jj_batch_capacity_has_share(
+    const jj_batch_capacity_t *capacity, uint32_t index);
 
 #endif
--- a/src/core/batch_worker.h
+++ b/src/core/batch_worker.h
@@ -16,10 +16,12 @@
 	jj_operations_t operations;
 	bool (*is_idempotent)(void *ctx, const char *service);
 	void *idempotent_ctx;
-	uint32_t room; /**< more items the servers could take */
-	jj_batch_room_t service_room; /**< the same by service */
-	uint64_t next_item; /**< number of the next run of an item */
-	uint64_t next_token; /**< of the next platform call */
+	uint32_t
+	    free_capacity; /**< items that the backend servers can take now */
+	jj_batch_capacity_t
+	    service_capacity; /**< limits and counts by service */
+	uint64_t next_item; /**< number of the last run of an item */
+	uint64_t next_token; /**< number in the last platform call's token */
 	bool leaving;
 	jj_job_table_t jobs;
 	jj_held_chunks_t chunks;
@@ -27,17 +29,21 @@
 	jj_ms_t now_ms; /**< of the last event */
 };
 
-/** Adds a platform call without a key and notes its token. */
+/** Adds a platform call without a key and stores its new token. */
 jj_platform_call_t *jj_batch_call(
     jj_batch_t *batch, jj_actions_t *out, jj_platform_op_t op, uint64_t *token);
 /**
- * Splits a key PREFIX ID or PREFIX ID "/" REST.
- * @return false when it is none; @p id then is unchanged.
+ * Splits a key of the form PREFIX ID or PREFIX ID "/" REST.
+ * @return false when the key has another form; @p id then is unchanged.
  */
 bool jj_batch_split_key(const char *key, const char *prefix,
     char id[JJ_OBJECT_ID_TEXT], const char **rest);
-/** When to repeat a call after so many failures in a row, with jitter. */
+/**
+ * Time of the next retry: exponential backoff with jitter.
+ * @param failures failed tries in a row.
+ * @param min_wait_ms minimum wait, as requested by the platform.
+ */
 jj_ms_t jj_batch_backoff(
-    jj_batch_t *batch, uint32_t failures, jj_ms_t at_least_ms, jj_ms_t now);
+    jj_batch_t *batch, uint32_t failures, jj_ms_t min_wait_ms, jj_ms_t now);
 
 #endif
--- a/src/core/intake.c
+++ b/src/core/intake.c
@@ -2,9 +2,9 @@
  * @file intake.c
  * @brief Cuts an upload into parts and writes them, the manifest last.
  *
- * One call to the platform is under way at a time, as all calls of an
- * upload carry the same token; further parts wait in line, and feeding
- * stops while `parts_pending` of them do.
+ * One platform call is under way at a time, as all calls of an upload have the
+ * same token. Further parts wait in a queue; no input is read while the queue
+ * has `parts_pending` parts.
  */
 #include <inttypes.h>
 #include <stdarg.h>
@@ -20,18 +20,19 @@
 #include "core/operation.h"
 #include "core/retry.h"
 
-/* Bytes of a part's object besides its lines, generously. */
+/* Upper bound of the bytes of a part's object besides its lines. */
 #define PART_OVERHEAD 4096
-/* Escaping a line as a JSON string at most doubles it, plus quotes. */
+/* Escaping a line as a JSON string at most doubles it; quotes are added. */
 #define LINE_MAX_BYTES ((JJ_OBJECT_VALUE_MAX - PART_OVERHEAD) / 2 - 3)
 
-/** One object on its way to the platform. */
+/** An object to be written to the platform. */
 typedef struct jj_intake_write {
 	STAILQ_ENTRY(jj_intake_write) link;
 	char key[JJ_OBJECT_KEY_MAX + 1];
 	char operation[JJ_OPERATION_TEXT];
 	jj_bytes_t value;
-	bool reading; /**< a conflict is being looked into */
+	bool
+	    checking_owner; /**< after a conflict: read whose object is stored */
 	jj_retry_t retry;
 } jj_intake_write_t;
 
@@ -44,17 +45,17 @@
 	jj_intake_state_t state;
 	char detail[256];
 
-	char *line; /**< start of a line whose end has not come yet */
+	char *line; /**< start of an incomplete line */
 	size_t line_size;
-	size_t line_room; /**< bytes allocated */
+	size_t line_capacity; /**< bytes allocated */
 	uint32_t line_number;
-	uint32_t blank_line; /**< number of the first blank line, or 0 */
+	uint32_t blank_line; /**< number of the first blank line; 0: none */
 	jj_intake_ids_t ids;
 
 	json_t *part; /**< lines of the part being filled */
-	size_t part_bytes; /**< of its lines */
-	size_t part_encoded; /**< of its lines as JSON strings */
-	json_t *part_counts; /**< items of each part so far */
+	size_t part_bytes; /**< size of its lines */
+	size_t part_encoded_bytes; /**< size of its lines as JSON strings */
+	json_t *part_counts; /**< items of each complete part */
 	uint32_t items;
 	uint64_t bytes;
 
@@ -80,7 +81,8 @@
     jj_intake_t *, const jj_platform_result_t *, jj_ms_t, jj_actions_t *);
 static void
 take_read(jj_intake_t *, const jj_platform_result_t *, jj_ms_t, jj_actions_t *);
-static void try_again(jj_intake_t *, const jj_platform_result_t *, jj_ms_t);
+static void
+schedule_retry(jj_intake_t *, const jj_platform_result_t *, jj_ms_t);
 static void drop_writes(jj_intake_t *);
 static void fail(jj_intake_t *, const char *);
 static void
@@ -175,9 +177,9 @@
 {
 	intake->in_flight = false;
 	/*
-	 * A bad line may be found while a part is under way. Its answer must
-	 * not move the upload on: with the manifest written, a file cut short
-	 * at the bad line would look complete.
+	 * An invalid line may be found while a part is being written. Its
+	 * result must not continue the upload: if the manifest were written, a
+	 * file truncated at the invalid line would seem complete.
 	 */
 	if (intake->state != JJ_INTAKE_OPEN || STAILQ_EMPTY(&intake->writes))
 		return;
@@ -232,7 +234,7 @@
 	return jj_json_take_bytes(object);
 }
 
-/* A name that is cut short, or that JSON cannot hold, is another's name. */
+/* Truncated, or changed to fit JSON, the name would be another team's. */
 static void
 check_team(jj_intake_t *intake, const char *team)
 {
@@ -244,24 +246,24 @@
 }
 
 /*
- * A file without line ends would otherwise grow the buffer without bound; a
- * line is refused as soon as it is longer than allowed, not at its end.
+ * Refuses a line as soon as it is too long, before its end: a file without
+ * line ends would otherwise grow the buffer without bound.
  */
 static void
 append_line(jj_intake_t *intake, const char *data, size_t size)
 {
-	/* One byte more for a CR before the line's end. */
-	size_t most = intake->settings.line_bytes + 1;
+	/* One more byte for a CR before the line's end. */
+	size_t max_size = intake->settings.line_bytes + 1;
 
-	if (size > most - intake->line_size) {
+	if (size > max_size - intake->line_size) {
 		intake->line_number++;
 		refuse(intake, "line %" PRIu32 ": longer than %zu bytes",
 		    intake->line_number, intake->settings.line_bytes);
 		return;
 	}
-	if (intake->line_size + size > intake->line_room) {
-		intake->line_room = 2 * (intake->line_size + size);
-		intake->line = jj_realloc(intake->line, intake->line_room);
+	if (intake->line_size + size > intake->line_capacity) {
+		intake->line_capacity = 2 * (intake->line_size + size);
+		intake->line = jj_realloc(intake->line, intake->line_capacity);
 	}
 	if (size > 0)
 		memcpy(intake->line + intake->line_size, data, size);
@@ -316,20 +318,20 @@
 	if (!is_new_id(intake, line, size))
 		return;
 	if (intake->part_bytes + size > intake->settings.part_bytes ||
-	    intake->part_encoded + encoded >
+	    intake->part_encoded_bytes + encoded >
 		JJ_OBJECT_VALUE_MAX - PART_OVERHEAD)
 		cut_part(intake);
 	json_array_append_new(intake->part, json_stringn(line, size));
 	intake->part_bytes += size;
-	intake->part_encoded += encoded;
+	intake->part_encoded_bytes += encoded;
 	intake->items++;
 	if (json_array_size(intake->part) >= intake->settings.part_items)
 		cut_part(intake);
 }
 
 /*
- * Two items under one custom_id would give two results that the caller
- * cannot tell apart: one entry seems answered twice, the other never.
+ * The caller could not tell apart the results of two items with the same
+ * custom_id: one item would seem answered twice, the other never.
  */
 static bool
 is_new_id(jj_intake_t *intake, const char *line, size_t size)
@@ -349,7 +351,7 @@
 	return first == 0;
 }
 
-/* Bytes of a valid JSON line when written as a JSON string with a comma. */
+/* Size of a valid JSON line encoded as a JSON string, with a comma. */
 static size_t
 encoded_size(const char *line, size_t size)
 {
@@ -379,13 +381,13 @@
 	    intake->part_counts, json_integer((json_int_t)items));
 	intake->part = json_array();
 	intake->part_bytes = 0;
-	intake->part_encoded = 0;
+	intake->part_encoded_bytes = 0;
 }
 
 /*
- * The manifest stands last in line, and a write leaves the line only once it
- * is known to be durable: a VM lost in the middle of an upload leaves parts
- * without a manifest, which no job can name.
+ * The manifest is the last write in the queue, and a write leaves the queue
+ * only when it is known to be durable. A VM that fails during an upload leaves
+ * parts without a manifest, which no job can use.
  */
 static void
 queue_manifest(jj_intake_t *intake)
@@ -400,7 +402,7 @@
 	intake->manifest_queued = true;
 }
 
-/* Takes over the object. */
+/* Takes ownership of the object. */
 static void
 queue_write(jj_intake_t *intake, const char *key, json_t *object)
 {
@@ -426,10 +428,10 @@
 	    intake->in_flight || now < write->retry.at)
 		return;
 	call = jj_actions_add_platform(out, JJ_OWNER_INTAKE,
-	    write->reading ? JJ_PLATFORM_GET : JJ_PLATFORM_CREATE,
+	    write->checking_owner ? JJ_PLATFORM_GET : JJ_PLATFORM_CREATE,
 	    intake->token);
 	snprintf(call->key, sizeof(call->key), "%s", write->key);
-	if (!write->reading)
+	if (!write->checking_owner)
 		call->value =
 		    jj_bytes_copy(write->value.data, write->value.size);
 	intake->in_flight = true;
@@ -459,17 +461,18 @@
 		return;
 	case JJ_PLATFORM_CONFLICT:
 		/*
-		 * The write took effect but its answer was lost, and the
-		 * repeat meets its own value: shown to the caller as a failed
-		 * upload that is in fact durable. Only the value tells whose
-		 * it is. This holds also when no answer was missed here, as
-		 * an HTTP client may repeat a request on a fresh connection.
+		 * The object may be this upload's own: an earlier try was
+		 * applied and its answer lost. Without a check, the caller
+		 * would see a failed upload that is in fact durable. Only the
+		 * stored value shows whose object it is. Even a first try is
+		 * checked, as the HTTP client may have resent the request on a
+		 * new connection.
 		 */
-		STAILQ_FIRST(&intake->writes)->reading = true;
+		STAILQ_FIRST(&intake->writes)->checking_owner = true;
 		send_write(intake, now, out);
 		return;
 	default:
-		try_again(intake, result, now);
+		schedule_retry(intake, result, now);
 		return;
 	}
 }
@@ -481,9 +484,9 @@
 	jj_intake_write_t *write = STAILQ_FIRST(&intake->writes);
 
 	if (result->outcome == JJ_PLATFORM_ABSENT)
-		write->reading = false;
+		write->checking_owner = false;
 	if (result->outcome != JJ_PLATFORM_OK) {
-		try_again(intake, result, now);
+		schedule_retry(intake, result, now);
 		return;
 	}
 	if (jj_operation_is_own(
@@ -494,7 +497,8 @@
 }
 
 static void
-try_again(jj_intake_t *intake, const jj_platform_result_t *result, jj_ms_t now)
+schedule_retry(
+    jj_intake_t *intake, const jj_platform_result_t *result, jj_ms_t now)
 {
 	jj_retry_limits_t limits = {
 	    intake->settings.tries, intake->settings.retry_ms};
--- a/src/core/intake_ids.c
+++ b/src/core/intake_ids.c
@@ -6,7 +6,7 @@
 
 #include <stdlib.h>
 
-/* Places of the first table; it doubles when half full. */
+/* Slots of the first table; it doubles when half full. */
 #define FIRST_SIZE 1024
 
 static jj_intake_id_t *find(const jj_intake_ids_t *, uint64_t);
@@ -17,15 +17,15 @@
     jj_intake_ids_t *ids, const char *id, size_t size, uint32_t line)
 {
 	uint64_t hash = jj_hash_bytes(id, size, ids->seed);
-	jj_intake_id_t *place;
+	jj_intake_id_t *slot;
 
 	if (2 * ids->count >= ids->size)
 		grow(ids);
-	place = find(ids, hash);
-	if (place->line != 0)
-		return place->line;
-	place->hash = hash;
-	place->line = line;
+	slot = find(ids, hash);
+	if (slot->line != 0)
+		return slot->line;
+	slot->hash = hash;
+	slot->line = line;
 	ids->count++;
 	return 0;
 }
@@ -33,8 +33,8 @@
 void
 jj_intake_ids_clear(jj_intake_ids_t *ids)
 {
-	free(ids->places);
-	ids->places = NULL;
+	free(ids->slots);
+	ids->slots = NULL;
 	ids->size = 0;
 	ids->count = 0;
 }
@@ -44,9 +44,9 @@
 {
 	size_t at = hash & (ids->size - 1);
 
-	while (ids->places[at].line != 0 && ids->places[at].hash != hash)
+	while (ids->slots[at].line != 0 && ids->slots[at].hash != hash)
 		at = (at + 1) & (ids->size - 1);
-	return &ids->places[at];
+	return &ids->slots[at];
 }
 
 static void
@@ -56,11 +56,11 @@
 	size_t at;
 
 	larger.size = ids->size == 0 ? FIRST_SIZE : 2 * ids->size;
-	larger.places = jj_alloc(larger.size * sizeof(*larger.places));
+	larger.slots = jj_alloc(larger.size * sizeof(*larger.slots));
 	for (at = 0; at < ids->size; at++) {
-		if (ids->places[at].line != 0)
-			*find(&larger, ids->places[at].hash) = ids->places[at];
+		if (ids->slots[at].line != 0)
+			*find(&larger, ids->slots[at].hash) = ids->slots[at];
 	}
-	free(ids->places);
+	free(ids->slots);
 	*ids = larger;
 }
--- a/src/core/intake_ids.h
+++ b/src/core/intake_ids.h
@@ -1,34 +1,34 @@
 /**
  * @file intake_ids.h
- * @brief The custom_ids seen in one upload, to find a repeated one.
+ * @brief The custom_ids of one upload, to detect duplicates.
  *
- * Keeps a seeded 64-bit hash and a line number for each id: 16 bytes each
- * and at most twice that in the table, whatever the ids' length. With the
- * default of 400000 items the chance of two ids sharing a hash, which would
- * refuse a good file, is below one in a hundred million.
+ * Stores a seeded 64-bit hash and a line number for each id: 16 bytes per
+ * slot, whatever the length of the ids. The table doubles when half full. Two
+ * ids with the same hash would refuse a valid file; with the default of 400000
+ * items the probability is below one in a hundred million.
  */
 #ifndef JJ_CORE_INTAKE_IDS_H
 #define JJ_CORE_INTAKE_IDS_H
 
 #include "core/types.h"
 
-/** One place of the table; line 0 is a free place. */
+/** A slot of the table; line 0: unused. */
 typedef struct {
 	uint64_t hash;
 	uint32_t line;
 } jj_intake_id_t;
 
-/** The table; zeroed at the start but for the seed. */
+/** The table; initially all zero but the seed. */
 typedef struct {
-	jj_intake_id_t *places; /**< owned */
+	jj_intake_id_t *slots; /**< owned */
 	size_t size; /**< a power of two, or 0 */
 	size_t count;
-	uint64_t seed; /**< of the hash, so that callers cannot collide ids */
+	uint64_t seed; /**< random, so that callers can't provoke collisions */
 } jj_intake_ids_t;
 
 /**
- * Adds an id first seen on @p line (from 1).
- * @return 0 when the id is new, else the line that has it already.
+ * Adds the id of a line; @p line counts from 1.
+ * @return 0 when the id is new, else the number of the line that has it.
  */
 uint32_t jj_intake_ids_add(
     jj_intake_ids_t *ids, const char *id, size_t size, uint32_t line);
--- a/src/core/intake_line.c
+++ b/src/core/intake_line.c
@@ -9,7 +9,7 @@
 
 #include "core/intake.h"
 
-/* Longest url of a line, bytes. */
+/* Maximum length of a line's url, bytes. */
 #define URL_MAX 255
 
 static const char *find_fault(const json_t *);
@@ -56,18 +56,17 @@
 }
 
 static bool
-is_text(const json_t *text, size_t most)
+is_text(const json_t *text, size_t max_size)
 {
 	size_t size = json_string_length(text);
 
-	return json_is_string(text) && size >= 1 && size <= most;
+	return json_is_string(text) && size >= 1 && size <= max_size;
 }
 
 /*
- * A url with a line end or a space in it would put a header of the caller's
- * choice into the request to the backend server; only visible characters of
- * ASCII pass, so a url is always one word of the request line. "//" at the
- * start would name another host.
+ * Only visible ASCII is allowed: with a line end or a space in the url, a
+ * caller could inject headers into the request to the backend server. "//" at
+ * the start would name another host.
  */
 static bool
 is_path(const char *url)
--- a/src/core/job.c
+++ b/src/core/job.c
@@ -1,6 +1,6 @@
 /**
  * @file job.c
- * @brief The job operations under way: create, destroy, results and time.
+ * @brief The job operations under way: results of their calls, timers.
  */
 #include "core/job.h"
 
@@ -30,9 +30,8 @@
 }
 
 /*
- * A result may come after its operation was given up on. Its token is never
- * used again, so it finds nobody, and no later operation takes it for its
- * own.
+ * A result may come after its operation has ended. Tokens are never reused, so
+ * it is ignored and can't reach a later operation.
  */
 void
 jj_jobs_take_result(jj_jobs_t *jobs, const jj_platform_result_t *result,
@@ -43,7 +42,7 @@
 	TAILQ_FOREACH(operation, &jobs->under_way, link)
 	{
 		if (operation->token == result->token) {
-			jj_job_operation_take(
+			jj_job_operation_take_result(
 			    jobs, operation, result, now, out);
 			return;
 		}
--- a/src/core/job_cancel.c
+++ b/src/core/job_cancel.c
@@ -1,6 +1,6 @@
 /**
  * @file job_cancel.c
- * @brief Cancels a job: an update of its object, by compare-and-swap.
+ * @brief Cancels a job by a compare-and-swap update of its object.
  */
 #include <string.h>
 
@@ -28,8 +28,9 @@
 }
 
 /*
- * The cancel is answered once it is durable: from then on no worker, also
- * one that takes the job over, can start an item without learning of it.
+ * The cancel is answered once it is durable. From then on any worker that
+ * claims or takes over a chunk reads the job as cancelled before it starts an
+ * item.
  */
 static void
 take_result(jj_jobs_t *jobs, jj_job_operation_t *operation,
@@ -45,10 +46,10 @@
 }
 
 /*
- * A job that has ended is answered as it is. That covers a cancel that comes
- * again, a cancel whose answer was lost, and a completion that was quicker:
- * the update names the version that was read running, so that a completed
- * job is never turned into a cancelled one, nor the other way round.
+ * A cancelled or completed job is answered unchanged. That covers a repeated
+ * cancel, a cancel whose answer was lost, and a completion that came first.
+ * The update is conditional on the version that was read as running, so that
+ * a completed job never becomes cancelled, nor a cancelled one completed.
  */
 static void
 take_job(jj_jobs_t *jobs, jj_job_operation_t *operation,
--- a/src/core/job_codec.c
+++ b/src/core/job_codec.c
@@ -1,6 +1,6 @@
 /**
  * @file job_codec.c
- * @brief A job's object as JSON, and as callers see it.
+ * @brief Encodes and decodes a job's object; encodes the job for callers.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -142,7 +142,7 @@
 	if (!copy_text(fingerprint, sizeof(fingerprint), object, "fingerprint"))
 		return false;
 	job->fingerprint = strtoull(fingerprint, NULL, HEX);
-	/* Shown only: a job without it is still run and read. */
+	/* Optional, as it is only shown to callers. */
 	(void)copy_text(
 	    job->endpoint, sizeof(job->endpoint), object, "endpoint");
 	return copy_text(job->id, sizeof(job->id), object, "id") &&
@@ -223,9 +223,9 @@
 }
 
 static bool
-copy_text(char *to, size_t room, const json_t *object, const char *field)
+copy_text(char *to, size_t to_size, const json_t *object, const char *field)
 {
-	return jj_json_copy_text(to, room, json_object_get(object, field));
+	return jj_json_copy_text(to, to_size, json_object_get(object, field));
 }
 
 static bool
--- a/src/core/job_operation.c
+++ b/src/core/job_operation.c
@@ -15,30 +15,30 @@
 #define STATUS_INTERNAL 500
 #define STATUS_UNAVAILABLE 503
 
-/* Conflicts of one operation after which it is given up. */
+/* An operation ends with 503 after this many conflicts. */
 #define CONFLICTS_MAX 8
 
 static void send_call(jj_job_operation_t *, jj_actions_t *);
 static bool is_write(const jj_platform_call_t *);
 static bool writes_job(const jj_job_operation_t *);
 static jj_bytes_t encode_entry(const jj_jobs_t *, const jj_job_operation_t *);
-static bool is_sure(jj_platform_outcome_t);
-static void repeat(jj_jobs_t *, jj_job_operation_t *,
+static bool is_definite(jj_platform_outcome_t);
+static void schedule_retry(jj_jobs_t *, jj_job_operation_t *,
     const jj_platform_result_t *, jj_ms_t, jj_actions_t *);
 static void set_call(jj_job_operation_t *, jj_platform_op_t, const char *);
 static jj_bytes_t encode_problem(int, const char *, const char *, const char *);
 static const char *title_of(int);
-static const char *give_up_detail(const jj_job_operation_t *, bool);
+static const char *unavailable_detail(const jj_job_operation_t *, bool);
 
 jj_job_operation_t *
-jj_job_operation_begin(
-    jj_jobs_t *jobs, uint64_t number, jj_job_take_t take, jj_ms_t now)
+jj_job_operation_begin(jj_jobs_t *jobs, uint64_t number,
+    jj_job_result_handler_t handler, jj_ms_t now)
 {
 	jj_job_operation_t *operation = jj_alloc(sizeof(*operation));
 
 	operation->number = number;
 	operation->token = ++jobs->last_token;
-	operation->take = take;
+	operation->handler = handler;
 	operation->deadline = now + jobs->settings.operation_ms;
 	TAILQ_INSERT_TAIL(&jobs->under_way, operation, link);
 	return operation;
@@ -58,7 +58,7 @@
 {
 	char copy[JJ_OBJECT_KEY_MAX + 1];
 
-	/* The key may stand in the call that is about to be replaced. */
+	/* `after` may point into the call that is about to be replaced. */
 	snprintf(copy, sizeof(copy), "%s", after);
 	set_call(operation, JJ_PLATFORM_LIST, prefix);
 	memcpy(operation->call.after, copy, sizeof(copy));
@@ -81,7 +81,7 @@
 }
 
 void
-jj_job_operation_call_index(jj_jobs_t *jobs, jj_job_operation_t *operation,
+jj_job_operation_call_entry(jj_jobs_t *jobs, jj_job_operation_t *operation,
     jj_platform_op_t op, uint64_t version, jj_actions_t *out)
 {
 	char key[JJ_OBJECT_KEY_MAX + 1];
@@ -91,14 +91,14 @@
 	operation->call.version = version;
 	if (is_write(&operation->call)) {
 		jj_operations_next_text(
-		    &jobs->operations, operation->index_operation);
+		    &jobs->operations, operation->entry_operation);
 		operation->call.value = encode_entry(jobs, operation);
 	}
 	send_call(operation, out);
 }
 
 bool
-jj_job_operation_is_index(const jj_job_operation_t *operation)
+jj_job_operation_is_for_entry(const jj_job_operation_t *operation)
 {
 	return strncmp(operation->call.key, JJ_ACTIVE_PREFIX,
 		   strlen(JJ_ACTIVE_PREFIX)) == 0;
@@ -154,16 +154,16 @@
 }
 
 /*
- * During an outage of the platform nothing durable can be promised: the
- * caller is told so at once, with when to come back. "not_run" is said only
- * when no write of this operation can have taken effect; a write whose
- * answer is missing, or still awaited at the deadline, may yet have.
+ * During an outage of the platform nothing can be made durable, so the caller
+ * gets a 503 without delay, with a retry time. "not_run" is answered only when
+ * no write of the job's object can have been applied. A write whose answer was
+ * lost, or that is still under way at the deadline, may have been.
  */
 void
-jj_job_operation_give_up(
+jj_job_operation_end_unavailable(
     jj_jobs_t *jobs, jj_job_operation_t *operation, jj_actions_t *out)
 {
-	bool unknown = operation->write_unknown ||
+	bool unknown = operation->job_write_unknown ||
 	    (operation->in_flight && writes_job(operation));
 	jj_ms_t retry_after_ms = jobs->settings.retry_after_ms;
 	jj_action_t *action = jj_actions_add(out, JJ_ACTION_JOB_ANSWER);
@@ -174,40 +174,41 @@
 	action->body.job.status = STATUS_UNAVAILABLE;
 	action->body.job.retry_after_ms = retry_after_ms;
 	action->body.job.body = encode_problem(STATUS_UNAVAILABLE,
-	    "platform_unavailable", give_up_detail(operation, unknown),
+	    "platform_unavailable", unavailable_detail(operation, unknown),
 	    unknown ? "unknown" : "not_run");
 	jj_job_operation_free(jobs, operation);
 }
 
 void
-jj_job_operation_take(jj_jobs_t *jobs, jj_job_operation_t *operation,
+jj_job_operation_take_result(jj_jobs_t *jobs, jj_job_operation_t *operation,
     const jj_platform_result_t *result, jj_ms_t now, jj_actions_t *out)
 {
 	/*
-	 * A VM frozen between its index entry and its job may wake after the
-	 * entry was deleted as an orphan. It would create and acknowledge a
-	 * job that no worker finds. Entries are kept for far longer than an
-	 * operation may take, so that what comes after the deadline is not
-	 * acted on; a resend looks after the entry before it acknowledges.
+	 * A VM that is paused after it wrote its index entry may resume when
+	 * the entry was deleted as an orphan. It would then create and
+	 * acknowledge a job that no worker finds. Entries without a job are
+	 * kept for far longer than an operation may take, so it is enough to
+	 * ignore results after the deadline. A resend confirms the entry
+	 * before it acknowledges the job.
 	 */
 	if (now >= operation->deadline) {
-		jj_job_operation_give_up(jobs, operation, out);
+		jj_job_operation_end_unavailable(jobs, operation, out);
 		return;
 	}
 	operation->in_flight = false;
 	if (result->outcome == JJ_PLATFORM_CONFLICT)
 		operation->conflicts++;
 	/*
-	 * Each conflict is followed by a read and another write without a
-	 * wait; a key that conflicts for ever would use up the platform's
-	 * rate until the deadline.
+	 * After a conflict the object is read and written again without a
+	 * wait. A key that always conflicts would use up the platform's rate
+	 * limit until the deadline.
 	 */
 	if (operation->conflicts >= CONFLICTS_MAX)
-		jj_job_operation_give_up(jobs, operation, out);
-	else if (is_sure(result->outcome))
-		operation->take(jobs, operation, result, now, out);
+		jj_job_operation_end_unavailable(jobs, operation, out);
+	else if (is_definite(result->outcome))
+		operation->handler(jobs, operation, result, now, out);
 	else
-		repeat(jobs, operation, result, now, out);
+		schedule_retry(jobs, operation, result, now, out);
 }
 
 void
@@ -215,7 +216,7 @@
     jj_ms_t now, jj_actions_t *out)
 {
 	if (now >= operation->deadline)
-		jj_job_operation_give_up(jobs, operation, out);
+		jj_job_operation_end_unavailable(jobs, operation, out);
 	else if (!operation->in_flight && now >= operation->retry.at)
 		send_call(operation, out);
 }
@@ -235,7 +236,7 @@
 {
 	char copy[JJ_OBJECT_KEY_MAX + 1];
 
-	/* The key may stand in the call that is replaced. */
+	/* `key` may point into the call that is replaced. */
 	snprintf(copy, sizeof(copy), "%s", key);
 	jj_platform_call_clear(&operation->call);
 	memset(&operation->call, 0, sizeof(operation->call));
@@ -263,12 +264,12 @@
 	return call->op == JJ_PLATFORM_CREATE || call->op == JJ_PLATFORM_UPDATE;
 }
 
-/* An index entry without its job runs nothing. */
+/* Index entries don't count, as an entry without its job runs nothing. */
 static bool
 writes_job(const jj_job_operation_t *operation)
 {
 	return is_write(&operation->call) &&
-	    !jj_job_operation_is_index(operation);
+	    !jj_job_operation_is_for_entry(operation);
 }
 
 static jj_bytes_t
@@ -276,28 +277,28 @@
 {
 	json_t *entry =
 	    json_pack("{s:s,s:s,s:s}", "job", operation->id, "writer",
-		jobs->settings.writer, "operation", operation->index_operation);
+		jobs->settings.writer, "operation", operation->entry_operation);
 
 	JJ_INVARIANT(entry != NULL);
 	return jj_json_take_bytes(entry);
 }
 
 static bool
-is_sure(jj_platform_outcome_t outcome)
+is_definite(jj_platform_outcome_t outcome)
 {
 	return outcome != JJ_PLATFORM_LIMITED && outcome != JJ_PLATFORM_DOWN &&
 	    outcome != JJ_PLATFORM_UNKNOWN;
 }
 
 /*
- * Plans the next try, or gives up at once when there is none or when it
- * would come after the deadline.
+ * Schedules the next try. Ends the operation at once when no try is left or
+ * the next one would come after the deadline.
  *
- * A write without an answer is followed by a read of its key: the write may
- * have taken effect, and only the value tells.
+ * After a write without an answer its key is read, as only the stored value
+ * shows whether the write was applied.
  */
 static void
-repeat(jj_jobs_t *jobs, jj_job_operation_t *operation,
+schedule_retry(jj_jobs_t *jobs, jj_job_operation_t *operation,
     const jj_platform_result_t *result, jj_ms_t now, jj_actions_t *out)
 {
 	jj_retry_limits_t limits = {
@@ -307,13 +308,13 @@
 		operation->retry_after_ms = result->retry_after_ms;
 	if (result->outcome == JJ_PLATFORM_UNKNOWN &&
 	    is_write(&operation->call)) {
-		operation->write_unknown |= writes_job(operation);
+		operation->job_write_unknown |= writes_job(operation);
 		set_call(operation, JJ_PLATFORM_GET, operation->call.key);
 	}
 	if (!jj_retry_plan(
 		&operation->retry, &limits, result->retry_after_ms, now) ||
 	    operation->retry.at >= operation->deadline)
-		jj_job_operation_give_up(jobs, operation, out);
+		jj_job_operation_end_unavailable(jobs, operation, out);
 }
 
 static jj_bytes_t
@@ -351,7 +352,7 @@
 }
 
 static const char *
-give_up_detail(const jj_job_operation_t *operation, bool unknown)
+unavailable_detail(const jj_job_operation_t *operation, bool unknown)
 {
 	if (!unknown)
 		return "the platform does not answer now; nothing was changed";
--- a/src/core/job_operation.h
+++ b/src/core/job_operation.h
@@ -2,10 +2,10 @@
  * @file job_operation.h
  * @brief One job operation under way: its platform calls and its answer.
  *
- * Private to the job modules. An operation makes one platform call at a
- * time. Failed calls are repeated here; job_submit, job_cancel and job_read
- * see only answers that are sure, in their take function. Each of them ends
- * the operation with exactly one answer.
+ * Private to the job modules. An operation makes one platform call at a time.
+ * Failed calls are retried here. The handlers in job_submit, job_cancel and
+ * job_read get only definite results. Each operation ends with exactly one
+ * answer.
  */
 #ifndef JJ_CORE_JOB_OPERATION_H
 #define JJ_CORE_JOB_OPERATION_H
@@ -20,33 +20,35 @@
 
 typedef struct jj_job_operation jj_job_operation_t;
 
-/** Takes a sure result (OK, ABSENT, CONFLICT, GAP) of the call. */
-typedef void (*jj_job_take_t)(jj_jobs_t *jobs, jj_job_operation_t *operation,
-    const jj_platform_result_t *result, jj_ms_t now, jj_actions_t *out);
+/** Handles a definite result (OK, ABSENT, CONFLICT, GAP) of the call. */
+typedef void (*jj_job_result_handler_t)(jj_jobs_t *jobs,
+    jj_job_operation_t *operation, const jj_platform_result_t *result,
+    jj_ms_t now, jj_actions_t *out);
 
 /** One operation. */
 struct jj_job_operation {
 	TAILQ_ENTRY(jj_job_operation) link;
-	uint64_t number; /**< the caller's, for the answer */
+	uint64_t number; /**< given by the caller; returned in the answer */
 	uint64_t token; /**< of its platform calls */
-	jj_job_take_t take;
+	jj_job_result_handler_t handler;
 	jj_ms_t deadline;
-	jj_platform_call_t call; /**< under way, or to be repeated; owned */
+	jj_platform_call_t call; /**< under way, or to be retried; owned */
 	bool in_flight;
-	/** A write of this operation may have taken effect unseen. */
-	bool write_unknown;
-	jj_ms_t retry_after_ms; /**< longest the platform asked for */
+	/** A write of the job's object got no answer and may be applied. */
+	bool job_write_unknown;
+	jj_ms_t retry_after_ms; /**< longest wait requested by the platform */
 	jj_retry_t retry;
-	uint32_t conflicts; /**< writes that met another version */
+	uint32_t conflicts; /**< calls that ended with a conflict */
 
 	char id[JJ_OBJECT_ID_TEXT];
-	jj_job_t job; /**< as read, or as it is to be written */
-	bool has_key; /**< the submission came with an idempotency key */
-	bool indexed; /**< the entry below JJ_ACTIVE_PREFIX is confirmed */
-	bool found; /**< `job` stands at the platform already */
-	char index_operation[JJ_OPERATION_TEXT]; /**< of the entry's write */
-	uint32_t chunk; /**< whose results are read */
-	json_t *data; /**< jobs of a list so far; owned */
+	jj_job_t job; /**< as read, or to be written */
+	bool has_key; /**< the submission has an idempotency key */
+	bool
+	    entry_confirmed; /**< the entry below JJ_ACTIVE_PREFIX is confirmed */
+	bool job_exists; /**< `job` was read: it exists at the platform */
+	char entry_operation[JJ_OPERATION_TEXT]; /**< id of the entry's write */
+	uint32_t chunk; /**< chunk whose results are read */
+	json_t *data; /**< jobs of the list so far; owned */
 };
 
 struct jj_jobs {
@@ -56,47 +58,54 @@
 	TAILQ_HEAD(, jj_job_operation) under_way;
 };
 
-/** Begins an operation whose results go to @p take. */
-jj_job_operation_t *jj_job_operation_begin(
-    jj_jobs_t *jobs, uint64_t number, jj_job_take_t take, jj_ms_t now);
+/** Begins an operation; @p handler handles the results of its calls. */
+jj_job_operation_t *jj_job_operation_begin(jj_jobs_t *jobs, uint64_t number,
+    jj_job_result_handler_t handler, jj_ms_t now);
 /** Sends a platform call without a value. */
 void jj_job_operation_call(jj_job_operation_t *operation, jj_platform_op_t op,
     const char *key, jj_actions_t *out);
-/** Sends a list call of keys. */
+/** Sends a call that lists keys. */
 void jj_job_operation_call_list(jj_job_operation_t *operation,
     const char *prefix, const char *after, int limit, jj_actions_t *out);
-/** Sends a create or update of the job's object from `job`. */
+/** Sends a create or update of the job's object, from `job`. */
 void jj_job_operation_write(jj_jobs_t *jobs, jj_job_operation_t *operation,
     jj_platform_op_t op, jj_actions_t *out);
 /**
  * Sends a create, update (on @p version) or get of the job's entry in the
  * index of active jobs.
  */
-void jj_job_operation_call_index(jj_jobs_t *jobs, jj_job_operation_t *operation,
+void jj_job_operation_call_entry(jj_jobs_t *jobs, jj_job_operation_t *operation,
     jj_platform_op_t op, uint64_t version, jj_actions_t *out);
-/** True when the call under way is one of the job's index entry. */
-bool jj_job_operation_is_index(const jj_job_operation_t *operation);
-/** Reads the object of the job `id`. */
+/** True when the call under way is for the job's index entry. */
+bool jj_job_operation_is_for_entry(const jj_job_operation_t *operation);
+/** Sends a get of the object of the job `id`. */
 void jj_job_operation_read(jj_job_operation_t *operation, jj_actions_t *out);
-/** Decodes a job that was read; when malformed, answers 500: false. */
+/**
+ * Decodes a job that was read.
+ * @return false when it is malformed; the operation has then ended with 500.
+ */
 bool jj_job_operation_decode(jj_jobs_t *jobs, jj_job_operation_t *operation,
     const jj_platform_result_t *result, jj_actions_t *out);
-/** Ends the operation with a body, which is taken over. */
+/** Ends the operation with a body, taking ownership of it. */
 void jj_job_operation_answer(jj_jobs_t *jobs, jj_job_operation_t *operation,
     int status, jj_bytes_t body, jj_actions_t *out);
 /** Ends the operation with the job as its body. */
 void jj_job_operation_answer_job(
     jj_jobs_t *jobs, jj_job_operation_t *operation, jj_actions_t *out);
-/** Ends the operation with a problem; it was not run. */
+/** Ends the operation with a problem document; "run" is "not_run". */
 void jj_job_operation_refuse(jj_jobs_t *jobs, jj_job_operation_t *operation,
     int status, const char *code, const char *detail, jj_actions_t *out);
-/** Ends the operation at once with 503, a time to come back and its run. */
-void jj_job_operation_give_up(
+/**
+ * Ends the operation with 503, a retry time for the caller, and whether it may
+ * have been applied ("run": "not_run" or "unknown").
+ */
+void jj_job_operation_end_unavailable(
     jj_jobs_t *jobs, jj_job_operation_t *operation, jj_actions_t *out);
-/** Takes any result: repeats what failed, hands on what is sure. */
-void jj_job_operation_take(jj_jobs_t *jobs, jj_job_operation_t *operation,
+/** Handles any result: retries failed calls, passes definite results on. */
+void
+jj_job_operation_take_result(jj_jobs_t *jobs, jj_job_operation_t *operation,
     const jj_platform_result_t *result, jj_ms_t now, jj_actions_t *out);
-/** Sends the call again when its wait is over; gives up at the deadline. */
+/** Retries the call when it is due; ends the operation at its deadline. */
 void jj_job_operation_tick(jj_jobs_t *jobs, jj_job_operation_t *operation,
     jj_ms_t now, jj_actions_t *out);
 /** Frees the operation. */
--- a/src/core/job_read.c
+++ b/src/core/job_read.c
@@ -10,12 +10,12 @@
 #include "core/job_operation.h"
 #include "core/json_text.h"
 
-/* Most keys of one list call; the platform's own limit. */
+/* Maximum of keys in one list call; the platform's limit. */
 #define LIST_MAX 1000
 #define JOBS_PREFIX "jobs/"
 
 static bool
-begin_read(jj_jobs_t *, jj_job_operation_t *, const char *, jj_actions_t *);
+accept_id(jj_jobs_t *, jj_job_operation_t *, const char *, jj_actions_t *);
 static void refuse_unknown(jj_jobs_t *, jj_job_operation_t *, jj_actions_t *);
 static void take_status(jj_jobs_t *, jj_job_operation_t *,
     const jj_platform_result_t *, jj_ms_t, jj_actions_t *);
@@ -43,7 +43,7 @@
 	jj_job_operation_t *operation =
 	    jj_job_operation_begin(jobs, number, take_status, now);
 
-	if (begin_read(jobs, operation, id, out))
+	if (accept_id(jobs, operation, id, out))
 		jj_job_operation_read(operation, out);
 }
 
@@ -55,7 +55,7 @@
 	    jj_job_operation_begin(jobs, number, take_results, now);
 	char key[JJ_OBJECT_KEY_MAX + 1];
 
-	if (!begin_read(jobs, operation, id, out))
+	if (!accept_id(jobs, operation, id, out))
 		return;
 	operation->chunk = chunk;
 	snprintf(key, sizeof(key), JOBS_PREFIX "%s/out/%06" PRIu32,
@@ -70,18 +70,18 @@
 	jj_job_operation_t *operation =
 	    jj_job_operation_begin(jobs, number, take_list, now);
 
-	if (after != NULL && !begin_read(jobs, operation, after, out))
+	if (after != NULL && !accept_id(jobs, operation, after, out))
 		return;
 	operation->data = json_array();
 	list_next(operation, out);
 }
 
 /*
- * An id becomes part of a key; one with a "/" in it would read another
- * object, so whatever is no id is an unknown job.
+ * An id becomes part of a key, so an id with a "/" would read another object.
+ * Malformed ids are refused as unknown jobs.
  */
 static bool
-begin_read(jj_jobs_t *jobs, jj_job_operation_t *operation, const char *id,
+accept_id(jj_jobs_t *jobs, jj_job_operation_t *operation, const char *id,
     jj_actions_t *out)
 {
 	if (!jj_object_id_is_valid(id)) {
@@ -117,7 +117,7 @@
 		begin_count(jobs, operation, out);
 }
 
-/* A completed job's object holds its counts; any other's are counted. */
+/* A completed job's object has the counts; for others chunks are counted. */
 static void
 begin_count(jj_jobs_t *jobs, jj_job_operation_t *operation, jj_actions_t *out)
 {
@@ -133,8 +133,8 @@
 }
 
 /*
- * Counts by keys only: reading the values would move the whole results of a
- * job for each look at it. Items that failed in these chunks count as
+ * Counts by keys only, as reading the values would transfer all results of the
+ * job for each status request. So failed items in these chunks are shown as
  * completed until the job ends.
  */
 static void
@@ -186,7 +186,7 @@
 	json_decref(object);
 }
 
-/* The chunk has no results; the job tells why. */
+/* The chunk has no results; the job's object shows why. */
 static void
 answer_missing(jj_jobs_t *jobs, jj_job_operation_t *operation,
     const jj_platform_result_t *result, jj_actions_t *out)
@@ -210,7 +210,7 @@
 write_lines(const jj_job_operation_t *operation, const json_t *results)
 {
 	jj_bytes_t lines = {NULL, 0};
-	size_t room = 0;
+	size_t capacity = 0;
 	size_t at;
 
 	for (at = 0; at < json_array_size(results); at++) {
@@ -218,9 +218,9 @@
 		    write_line(operation, json_array_get(results, at), at);
 		size_t size = strlen(line);
 
-		if (lines.size + size + 2 > room) {
-			room = 2 * (lines.size + size + 2);
-			lines.data = jj_realloc(lines.data, room);
+		if (lines.size + size + 2 > capacity) {
+			capacity = 2 * (lines.size + size + 2);
+			lines.data = jj_realloc(lines.data, capacity);
 		}
 		memcpy(lines.data + lines.size, line, size);
 		lines.size += size;
@@ -252,8 +252,8 @@
 }
 
 /*
- * The keys below jobs/ are mostly chunks and results. One list call with
- * limit 1 finds the next job's first key; the next call goes on behind all
+ * Most keys below jobs/ are of chunks and results. So a list call with limit 1
+ * finds the first key of the next job, and the next list call starts after all
  * keys of that job.
  */
 static void
@@ -300,7 +300,7 @@
 	jj_job_operation_read(operation, out);
 }
 
-/* "0" is the character behind "/": all keys of the job lie before it. */
+/* "0" is the character after "/", so all keys of the job sort before it. */
 static void
 list_next(jj_job_operation_t *operation, jj_actions_t *out)
 {
--- a/src/core/job_submit.c
+++ b/src/core/job_submit.c
@@ -3,8 +3,9 @@
  * @brief Submits a job: reads the file's manifest, enters the job into the
  * index of active jobs, creates the job's object.
  *
- * A fresh submission with a key costs two reads and two writes, one without
- * a key one read less; a resend costs no write once the job has ended.
+ * A new submission with an idempotency key takes two reads and two writes; one
+ * without a key takes one read less. A resend after the job has ended takes no
+ * write.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -13,20 +14,20 @@
 #include "core/job_operation.h"
 #include "core/json_text.h"
 
-/* Bounds of a completion window. */
+/* Maximum and default of a completion window. */
 #define WINDOW_MAX_MS ((jj_ms_t)30 * 24 * 3600 * 1000)
 #define WINDOW_DEFAULT "24h"
-/* Most bytes of a job's metadata as JSON. */
+/* Maximum size of a job's metadata as JSON, bytes. */
 #define METADATA_MAX 16384
 
-static const char *check_caller(const char *, const char *);
+static const char *check_team_and_key(const char *, const char *);
 static const char *take_request(jj_job_operation_t *, const json_t *);
 static const char *take_metadata(jj_job_t *, const json_t *);
 static bool take_window(jj_job_t *, const json_t *);
 static bool is_visible(const char *, size_t);
 static uint64_t hash_request(const char *, const json_t *);
 static void
-write_id(jj_jobs_t *, jj_job_operation_t *, const char *, const char *);
+set_id(jj_jobs_t *, jj_job_operation_t *, const char *, const char *);
 static void take_result(jj_jobs_t *, jj_job_operation_t *,
     const jj_platform_result_t *, jj_ms_t, jj_actions_t *);
 static void take_file(jj_jobs_t *, jj_job_operation_t *,
@@ -37,8 +38,8 @@
 static void begin_job(jj_jobs_t *, jj_job_operation_t *, jj_actions_t *);
 static void take_entry(jj_jobs_t *, jj_job_operation_t *,
     const jj_platform_result_t *, jj_actions_t *);
-static void go_on(jj_jobs_t *, jj_job_operation_t *, jj_actions_t *);
-static bool is_same(const jj_job_operation_t *, const jj_job_t *);
+static void finish_submit(jj_jobs_t *, jj_job_operation_t *, jj_actions_t *);
+static bool is_this_submission(const jj_job_operation_t *, const jj_job_t *);
 
 void
 jj_jobs_submit(jj_jobs_t *jobs, uint64_t number, const char *team,
@@ -47,7 +48,7 @@
 {
 	jj_job_operation_t *operation =
 	    jj_job_operation_begin(jobs, number, take_result, now);
-	const char *fault = check_caller(team, key);
+	const char *fault = check_team_and_key(team, key);
 	char file[JJ_OBJECT_KEY_MAX + 1];
 	json_t *object = NULL;
 
@@ -64,7 +65,7 @@
 	(void)jj_name_set(&operation->job.team, team);
 	operation->job.submitted_at = unix_seconds;
 	operation->job.fingerprint = hash_request(team, object);
-	write_id(jobs, operation, team, key);
+	set_id(jobs, operation, team, key);
 	jj_operations_next_text(&jobs->operations, operation->job.operation);
 	snprintf(
 	    file, sizeof(file), "files/%s/file", operation->job.input_file);
@@ -74,7 +75,7 @@
 }
 
 static const char *
-check_caller(const char *team, const char *key)
+check_team_and_key(const char *team, const char *key)
 {
 	if (team[0] == '\0' || !is_visible(team, JJ_NAME_MAX))
 		return "the team's name is not valid";
@@ -85,7 +86,7 @@
 	return NULL;
 }
 
-/* Returns what is wrong, or NULL. */
+/* Reads the request into the job. Returns what is wrong with it, or NULL. */
 static const char *
 take_request(jj_job_operation_t *operation, const json_t *object)
 {
@@ -157,20 +158,20 @@
 	return false;
 }
 
-/* Also keeps out what JSON could not hold. */
+/* Visible ASCII and spaces only; so the text is also valid in JSON. */
 static bool
-is_visible(const char *text, size_t most)
+is_visible(const char *text, size_t max_size)
 {
 	size_t at;
 
 	for (at = 0; text[at] != '\0'; at++) {
-		if (at == most || text[at] < ' ' || text[at] > '~')
+		if (at == max_size || text[at] < ' ' || text[at] > '~')
 			return false;
 	}
 	return true;
 }
 
-/* The order of fields and the white space of a resend do not matter. */
+/* A resend may differ in the order of fields and in white space. */
 static uint64_t
 hash_request(const char *team, const json_t *object)
 {
@@ -183,12 +184,12 @@
 }
 
 /*
- * Two VMs that take the same submission at once know nothing of each other.
- * As the id follows from team and key, both create the same object, and the
- * platform lets only one of them: one job, never two.
+ * Two VMs may receive the same submission at the same time. As the id is the
+ * hash of team and key, both try to create the same object, and the platform
+ * accepts only one. Without a key the id is random.
  */
 static void
-write_id(jj_jobs_t *jobs, jj_job_operation_t *operation, const char *team,
+set_id(jj_jobs_t *jobs, jj_job_operation_t *operation, const char *team,
     const char *key)
 {
 	char text[JJ_NAME_MAX + 1 + JJ_IDEMPOTENCY_KEY_MAX + 1];
@@ -216,14 +217,14 @@
 	(void)now;
 	if (operation->job.part_count == 0)
 		take_file(jobs, operation, result, out);
-	else if (jj_job_operation_is_index(operation))
+	else if (jj_job_operation_is_for_entry(operation))
 		take_entry(jobs, operation, result, out);
 	else if (result->op == JJ_PLATFORM_GET)
 		take_job(jobs, operation, result, out);
 	else if (result->outcome == JJ_PLATFORM_OK)
 		/*
-		 * Only now: a VM lost right after its answer must not take
-		 * an acknowledged job with it.
+		 * The job is answered only now that its object is durable, so
+		 * that it is not lost if this VM fails.
 		 */
 		jj_job_operation_answer_job(jobs, operation, out);
 	else
@@ -240,7 +241,8 @@
 	if (result->value.size > 0)
 		manifest =
 		    json_loadb(result->value.data, result->value.size, 0, NULL);
-	/* Another team's file is as good as none: ids are no permission. */
+	/* Another team's file is refused as unknown: knowing an id gives no
+	 * permission. */
 	usable = result->outcome == JJ_PLATFORM_OK &&
 	    take_manifest(operation, manifest);
 	json_decref(manifest);
@@ -277,8 +279,8 @@
 }
 
 /*
- * With a key the job is looked for first: a resend of a job that has ended
- * must not enter it into the index, where each worker would read it.
+ * With a key the job is read first: a resend of an ended job must not add it
+ * to the index again, where each worker would read it.
  */
 static void
 begin_job(jj_jobs_t *jobs, jj_job_operation_t *operation, jj_actions_t *out)
@@ -286,18 +288,18 @@
 	if (operation->has_key)
 		jj_job_operation_read(operation, out);
 	else
-		jj_job_operation_call_index(
+		jj_job_operation_call_entry(
 		    jobs, operation, JJ_PLATFORM_CREATE, 0, out);
 }
 
 /*
- * The job would be acknowledged and never run: its VM was lost between the
- * job's object and its index entry. So the entry comes first; an entry
- * without a job is deleted by the workers after a long time.
+ * The entry is written before the job's object. In the other order a job would
+ * never run if its VM failed between the two writes. An entry without a job is
+ * deleted by the workers after a grace period.
  *
- * An entry that stands already may be about to be deleted that way. The
- * deletion names the version that was seen without a job, so the entry is
- * written anew, and either the deletion fails or this update does.
+ * An entry that exists already may be about to be deleted in this way. The
+ * deletion is conditional on the version that was listed. The entry is
+ * therefore updated, so that either the deletion or this update fails.
  */
 static void
 take_entry(jj_jobs_t *jobs, jj_job_operation_t *operation,
@@ -308,25 +310,25 @@
 
 	if (stands && read &&
 	    !jj_operation_is_own(&result->value, jobs->settings.writer,
-		operation->index_operation)) {
-		jj_job_operation_call_index(
+		operation->entry_operation)) {
+		jj_job_operation_call_entry(
 		    jobs, operation, JJ_PLATFORM_UPDATE, result->version, out);
 	} else if (stands) {
-		operation->indexed = true;
-		go_on(jobs, operation, out);
+		operation->entry_confirmed = true;
+		finish_submit(jobs, operation, out);
 	} else if (result->outcome == JJ_PLATFORM_CONFLICT) {
-		jj_job_operation_call_index(
+		jj_job_operation_call_entry(
 		    jobs, operation, JJ_PLATFORM_GET, 0, out);
 	} else {
-		jj_job_operation_call_index(
+		jj_job_operation_call_entry(
 		    jobs, operation, JJ_PLATFORM_CREATE, 0, out);
 	}
 }
 
 static void
-go_on(jj_jobs_t *jobs, jj_job_operation_t *operation, jj_actions_t *out)
+finish_submit(jj_jobs_t *jobs, jj_job_operation_t *operation, jj_actions_t *out)
 {
-	if (operation->found)
+	if (operation->job_exists)
 		jj_job_operation_answer_job(jobs, operation, out);
 	else
 		jj_job_operation_write(
@@ -334,9 +336,10 @@
 }
 
 /*
- * The job's object was there already, or a write's answer was lost. One that
- * has not ended is acknowledged again only with its entry confirmed: the
- * submission that created it may have given up, with its entry deleted.
+ * Handles a read of the job's object, before or after its creation was tried.
+ * If the job exists and has not ended, its entry is confirmed before it is
+ * acknowledged: the submission that created it may have been abandoned, and
+ * its entry deleted.
  */
 static void
 take_job(jj_jobs_t *jobs, jj_job_operation_t *operation,
@@ -345,25 +348,26 @@
 	jj_job_t found;
 	bool same;
 
-	if (result->outcome != JJ_PLATFORM_OK && operation->indexed) {
-		go_on(jobs, operation, out);
+	if (result->outcome != JJ_PLATFORM_OK && operation->entry_confirmed) {
+		finish_submit(jobs, operation, out);
 		return;
 	}
 	if (result->outcome != JJ_PLATFORM_OK) {
-		jj_job_operation_call_index(
+		jj_job_operation_call_entry(
 		    jobs, operation, JJ_PLATFORM_CREATE, 0, out);
 		return;
 	}
 	same = jj_job_decode(&found, &result->value, result->version) &&
-	    is_same(operation, &found);
+	    is_this_submission(operation, &found);
 	if (same) {
 		jj_job_clear(&operation->job);
 		operation->job = found;
-		operation->found = true;
-		if (operation->indexed || jj_job_has_ended(&operation->job))
+		operation->job_exists = true;
+		if (operation->entry_confirmed ||
+		    jj_job_has_ended(&operation->job))
 			jj_job_operation_answer_job(jobs, operation, out);
 		else
-			jj_job_operation_call_index(
+			jj_job_operation_call_entry(
 			    jobs, operation, JJ_PLATFORM_CREATE, 0, out);
 		return;
 	}
@@ -376,11 +380,12 @@
 }
 
 /*
- * With a key, a resend and the lost answer of one's own write look alike and
- * get the same answer: the job. Without one only the own write is the job.
+ * With a key, the object may come from this operation or from an earlier
+ * submission with the same content; both are answered with the job. Without a
+ * key only this operation's write counts.
  */
 static bool
-is_same(const jj_job_operation_t *operation, const jj_job_t *found)
+is_this_submission(const jj_job_operation_t *operation, const jj_job_t *found)
 {
 	const jj_job_t *job = &operation->job;
 
