--- a/src/core/batch_chunk.h
+++ b/src/core/batch_chunk.h
@@ -40,9 +40,9 @@
 typedef struct {
 	jj_item_state_t state;
 	jj_batch_line_t line;
-	bool idempotent; /**< as configured when it was last offered */
-	bool
-	    start_confirmed; /**< the record is confirmed to name it as started */
+	bool idempotent; /**< as configured when it was last sent */
+	/** The record is confirmed to name it as started. */
+	bool start_confirmed;
 	bool was_sent; /**< sent at least once */
 	bool withdrawn; /**< a run was withdrawn and may have begun */
 	uint64_t run; /**< number of the run under way */
@@ -69,8 +69,8 @@
 	bool may_be_applied; /**< an earlier try may have been applied */
 	char operation[JJ_OPERATION_TEXT];
 	jj_bytes_t value;
-	jj_ms_t
-	    first_sent_ms; /**< time of the first try; the lease starts here */
+	/** Time of the first try; the lease starts here. */
+	jj_ms_t first_sent_ms;
 } jj_chunk_write_t;
 
 typedef struct jj_held_chunk {
@@ -88,7 +88,7 @@
 	bool check_job_next; /**< read the job after the write under way */
 	uint64_t version; /**< of the record */
 	uint64_t fence;
-	uint64_t renewals; /**< renewals so far */
+	uint64_t renewals; /**< by this holder so far */
 	jj_ms_t lease_until_ms; /**< by this VM's clock */
 	jj_ms_t renew_at_ms;
 	jj_chunk_write_t write;
@@ -105,7 +105,7 @@
 
 typedef TAILQ_HEAD(jj_held_chunk_list, jj_held_chunk) jj_held_chunks_t;
 
-/** Creates the state of a chosen chunk; its first phase is claim or examine. */
+/** Creates the state of a chosen chunk; the first phase depends on the record. */
 jj_held_chunk_t *
 jj_held_chunk_create(jj_batch_t *batch, const jj_chunk_choice_t *choice);
 void jj_held_chunk_destroy(jj_held_chunk_t *chunk);
@@ -131,7 +131,7 @@
     jj_batch_t *batch, jj_held_chunk_t *chunk, jj_ms_t now, jj_actions_t *out);
 /**
  * Prepares an update of the record as the next write. For a creation, the
- * caller sets `creates` afterwards.
+ * caller sets `is_create` afterwards.
  */
 void jj_held_chunk_prepare_record(jj_batch_t *batch, jj_held_chunk_t *chunk,
     jj_write_kind_t kind, jj_chunk_state_t state);
@@ -171,7 +171,7 @@
     jj_batch_t *batch, jj_held_chunk_t *chunk, jj_actions_t *out);
 /** Counts items that can run now; before the chunk is loaded, all. */
 uint32_t jj_held_chunk_count_ready(const jj_held_chunk_t *chunk, jj_ms_t now);
-/** True when each item without a result was refused several times. */
+/** True when no open item was accepted, each in several runs. */
 bool jj_held_chunk_is_stalled(const jj_held_chunk_t *chunk);
 /** Time at which the chunk's next call or item is due. */
 jj_ms_t
--- a/src/core/batch_jobs.h
+++ b/src/core/batch_jobs.h
@@ -42,9 +42,8 @@
 	LIST_ENTRY(jj_seen_claim) link;
 	uint32_t chunk;
 	uint64_t version;
-	jj_ms_t
-	    first_seen_ms; /**< when this version was first seen, by this VM's
-			      clock */
+	/** When this version was first seen, by this VM's clock. */
+	jj_ms_t first_seen_ms;
 	jj_ms_t lease_ms; /**< of the record; 0: record not read yet */
 	bool changed; /**< a newer version than the record last read */
 	bool released;
@@ -75,14 +74,16 @@
 	bool created; /**< found by the event of its creation, so that no
 			   chunk was claimed yet */
 	bool views_stale; /**< a claim conflicted: refresh the views first */
-	bool
-	    close_sent; /**< a close was sent that is not known to have failed */
+	/** A close was sent that is not known to have failed. */
+	bool close_sent;
 	bool periodic_refresh; /**< the refresh under way is a periodic one */
-	uint64_t
-	    own_out_version; /**< highest version of the out objects that this
-			       worker published or finished for others */
-	uint64_t
-	    last_out_version; /**< highest version of the listed out objects */
+	/**
+	 * Highest version of the out objects that this worker published or
+	 * finished for others.
+	 */
+	uint64_t own_out_version;
+	/** Highest version of the listed out objects. */
+	uint64_t last_out_version;
 	uint64_t entry_version; /**< of the listed index entry; 0: none */
 	jj_ms_t due_at_ms; /**< by this VM's clock */
 	uint8_t *views; /**< jj_chunk_view_t of each chunk */
@@ -94,8 +95,8 @@
 	uint64_t token; /**< of the call under way; 0: none */
 	jj_ms_t retry_at_ms; /**< earliest time of the step's call */
 	uint32_t failures; /**< failed calls in a row */
-	jj_ms_t
-	    refreshed_ms; /**< when the views were last refreshed; 0: never */
+	/** When the views were last refreshed; 0: never. */
+	jj_ms_t refreshed_ms;
 	bool wants_refresh;
 	char after[JJ_OBJECT_KEY_MAX + 1]; /**< last key of the list's pages */
 	uint32_t sum_next; /**< next chunk to sum up */
@@ -109,9 +110,8 @@
 typedef struct {
 	char id[JJ_OBJECT_ID_TEXT];
 	uint64_t version;
-	jj_ms_t
-	    first_seen_ms; /**< when this version was first seen, by this VM's
-			      clock */
+	/** When this version was first seen, by this VM's clock. */
+	jj_ms_t first_seen_ms;
 	jj_ms_t listed_ms; /**< when it was last seen; 0: unused */
 } jj_orphan_t;
 
@@ -119,8 +119,8 @@
 typedef struct {
 	jj_known_jobs_t list;
 	uint32_t count;
-	uint64_t
-	    ended[JJ_ENDED_JOBS]; /**< id hashes, at hash % JJ_ENDED_JOBS */
+	/** Id hashes, at hash % JJ_ENDED_JOBS. */
+	uint64_t ended[JJ_ENDED_JOBS];
 	char failed_writers[JJ_FAILED_WRITERS][JJ_WRITER_TEXT];
 	uint32_t failed_writers_next;
 	uint64_t token; /**< of the listing under way; 0: none */
--- a/src/core/batch_worker.h
+++ b/src/core/batch_worker.h
@@ -16,10 +16,10 @@
 	jj_operations_t operations;
 	bool (*is_idempotent)(void *ctx, const char *service);
 	void *idempotent_ctx;
-	uint32_t
-	    free_capacity; /**< items that the backend servers can take now */
-	jj_batch_capacity_t
-	    service_capacity; /**< limits and counts by service */
+	/** Items that the backend servers can take now. */
+	uint32_t free_capacity;
+	/** Limits and counts by service. */
+	jj_batch_capacity_t service_capacity;
 	uint64_t next_item; /**< number of the last run of an item */
 	uint64_t next_token; /**< number in the last platform call's token */
 	bool leaving;
--- a/src/core/intake.c
+++ b/src/core/intake.c
@@ -31,8 +31,8 @@
 	char key[JJ_OBJECT_KEY_MAX + 1];
 	char operation[JJ_OPERATION_TEXT];
 	jj_bytes_t value;
-	bool
-	    checking_owner; /**< after a conflict: read whose object is stored */
+	/** After a conflict: read whose object is stored. */
+	bool checking_owner;
 	jj_retry_t retry;
 } jj_intake_write_t;
 
--- a/src/core/job_operation.h
+++ b/src/core/job_operation.h
@@ -43,8 +43,8 @@
 	char id[JJ_OBJECT_ID_TEXT];
 	jj_job_t job; /**< as read, or to be written */
 	bool has_key; /**< the submission has an idempotency key */
-	bool
-	    entry_confirmed; /**< the entry below JJ_ACTIVE_PREFIX is confirmed */
+	/** The entry below JJ_ACTIVE_PREFIX is confirmed. */
+	bool entry_confirmed;
 	bool job_exists; /**< `job` was read: it exists at the platform */
 	char entry_operation[JJ_OPERATION_TEXT]; /**< id of the entry's write */
 	uint32_t chunk; /**< chunk whose results are read */
--- a/src/core/job_submit.c
+++ b/src/core/job_submit.c
@@ -306,14 +306,14 @@
     const jj_platform_result_t *result, jj_actions_t *out)
 {
 	bool read = result->op == JJ_PLATFORM_GET;
-	bool stands = result->outcome == JJ_PLATFORM_OK;
+	bool exists = result->outcome == JJ_PLATFORM_OK;
 
-	if (stands && read &&
+	if (exists && read &&
 	    !jj_operation_is_own(&result->value, jobs->settings.writer,
 		operation->entry_operation)) {
 		jj_job_operation_call_entry(
 		    jobs, operation, JJ_PLATFORM_UPDATE, result->version, out);
-	} else if (stands) {
+	} else if (exists) {
 		operation->entry_confirmed = true;
 		finish_submit(jobs, operation, out);
 	} else if (result->outcome == JJ_PLATFORM_CONFLICT) {
--- a/tests/core/batch_calls_test.cc
+++ b/tests/core/batch_calls_test.cc
@@ -1,10 +1,11 @@
 /**
  * @file batch_calls_test.cc
- * @brief How many platform calls batch work costs, by kind, with bounds.
+ * @brief Upper bounds of the platform calls that batch work makes, by kind.
  *
- * The platform takes several hundred writes and about two thousand reads a
- * second for everything. The counts are of the fake platform: the same in
- * each run. Workers hear of each write after one round, as from the relay.
+ * The platform accepts several hundred writes and about two thousand reads a
+ * second in total. The counts are those of the fake platform, the same in each
+ * run. Workers get the event of each write after one round, as from the watch
+ * relay.
  */
 #include "batch_fleet.h"
 
@@ -13,7 +14,7 @@
 
 using Calls = std::map<std::string, int>;
 
-/** Kind of a call: what is done to which sort of key. */
+/** Kind of a call: operation and sort of key. */
 std::string
 kind_of(const jj_platform_call_t &call)
 {
@@ -47,7 +48,8 @@
 		    call.op == JJ_PLATFORM_DELETE;
 		calls[write ? "writes" : "reads"]++;
 	};
-	/* Each worker has ten events a second; the end shows at times. */
+	/* Each worker gets ten events a second; checks for the end at
+	 * intervals. */
 	while (!fleet.has_ended())
 		fleet.run_rounds(1000, 100);
 	EXPECT_FALSE(fleet.platform.has(fleet.entry_key()));
@@ -55,8 +57,8 @@
 }
 
 /*
- * A claim, its job and part, the results and the end are 3 writes and 2
- * reads for a chunk; the rest goes with the time that the job runs.
+ * A chunk takes 3 writes (claim, out object, done record) and 2 reads (job and
+ * part). All other calls depend on the run time of the job.
  */
 TEST(BatchCalls, AreFewForEachChunk)
 {
@@ -70,7 +72,7 @@
 		size_t chunks, items;
 		int workers;
 		Hints hints;
-		int writes, reads, claims, looks; /**< at most */
+		int writes, reads, claims, record_reads; /**< at most */
 	} cases[] = {
 	    {"small", 2, 500, 3, kAll, 34, 88, 4, 20},
 	    {"small_no_hints", 2, 500, 3, kNone, 34, 88, 4, 20},
@@ -99,46 +101,52 @@
 		EXPECT_LE(calls["writes"], c.writes);
 		EXPECT_LE(calls["reads"], c.reads);
 		EXPECT_LE(calls["create_chunk"], c.claims);
-		EXPECT_LE(calls["get_chunk"], c.looks);
-		EXPECT_EQ(calls["list_jobs"], 0) << "only the index is listed";
+		EXPECT_LE(calls["get_chunk"], c.record_reads);
+		EXPECT_EQ(calls["list_jobs"], 0)
+		    << "a worker listed jobs/ instead of the index";
 		EXPECT_EQ(calls["get_out"], 0);
-		/* One VM sums up and deletes the entry, not each. */
+		/* Only one VM sums up the job and deletes its entry. */
 		EXPECT_EQ(calls["list_values"], c.chunks > 200 ? 4 : 1);
 		EXPECT_EQ(calls["delete_active"], 1);
 	}
 }
 
-/* 59,000 jobs a day are told to 330 VMs: 225 reads a second at one read. */
+/*
+ * The events of 59,000 jobs a day reach 330 VMs: 225 reads a second with one
+ * read for each event.
+ */
 TEST(BatchCalls, NewJobCostsABusyWorkerOneRead)
 {
 	Fleet fleet(Rows{{true}, {true}}, 1);
 	Calls calls;
 
-	fleet.workers[0]->room = 0;
+	fleet.workers[0]->free_capacity = 0;
 	fleet.platform.before = [&](const jj_platform_call_t &call) {
 		calls[kind_of(call)]++;
 	};
 	fleet.change(0, fleet.job_key());
 	fleet.run_rounds(20, 100);
 	EXPECT_EQ(calls["get_job"], 1);
-	EXPECT_EQ(calls["list_active"], 1) << "at the start";
+	EXPECT_EQ(calls["list_active"], 1) << "not only the first listing";
 	EXPECT_EQ(calls.size(), 2u);
 }
 
 /*
- * Hundreds of idle VMs hear of each renewal of each claim; each of them read
- * the record four times a second, to see whether it had been released.
+ * Hundreds of idle VMs get the events of each renewal of each claim. Guards
+ * against each of them reading the records four times a second, to see whether
+ * they were released.
  */
 TEST(BatchCalls, IdleWorkersRarelyLookAtRenewedClaims)
 {
 	Fleet fleet(Rows{{true}});
-	int looks = 0;
+	int record_reads = 0;
 
 	fleet.hints = true;
 	fleet.platform.before = [&](const jj_platform_call_t &call) {
-		looks += kind_of(call) == "get_chunk";
+		record_reads += kind_of(call) == "get_chunk";
 	};
-	/* One holds the chunk, whose item runs on; the other has room. */
+	/* One worker holds the chunk with a long-running item; the other has
+	 * free capacity. */
 	for (int i = 0; i < 6000; i++) {
 		for (size_t w = 0; w < fleet.workers.size(); w++) {
 			fleet.tick(w);
@@ -151,8 +159,9 @@
 	EXPECT_EQ(1u, fleet.counts(0).chunks_held);
 	EXPECT_EQ(0u, fleet.counts(1).takeovers);
 	EXPECT_GE(fleet.counts(0).checkpoints, 100u);
-	printf("batch_calls job=renewed seconds=600 get_chunk=%d\n", looks);
-	EXPECT_LE(looks, 100);
+	printf(
+	    "batch_calls job=renewed seconds=600 get_chunk=%d\n", record_reads);
+	EXPECT_LE(record_reads, 100);
 }
 
 } // namespace
--- a/tests/core/batch_fleet.h
+++ b/tests/core/batch_fleet.h
@@ -1,10 +1,10 @@
 /**
  * @file batch_fleet.h
- * @brief Several batch workers over one platform in memory, event by event.
+ * @brief Several batch workers on one in-memory platform, run event by event.
  *
- * Checks after each event what must always hold: an out object is written
- * once, a non-idempotent item is sent at most once, and no item starts at a
- * worker that has seen the cancel.
+ * Checks invariants after each event: an out object is written once, a
+ * non-idempotent item is sent at most once, and a worker that has read the
+ * cancel starts no item.
  */
 #ifndef JJ_TESTS_CORE_BATCH_FLEET_H
 #define JJ_TESTS_CORE_BATCH_FLEET_H
@@ -24,7 +24,7 @@
 #include "core/batch.h"
 }
 
-/** Chunks of a job; each a row of items, true for idempotent ones. */
+/** Chunks of a job, each a row of items; true: idempotent. */
 using Rows = std::vector<std::vector<bool>>;
 
 inline const std::string kJob = "0123456789abcdef01234567";
@@ -51,10 +51,10 @@
 	jj_actions_t actions;
 	std::string writer;
 	std::deque<Run> running;
-	uint32_t room = 8;
-	bool saw_cancel = false;
+	uint32_t free_capacity = 8;
+	bool has_read_cancel = false;
 	int cancelled_runs = 0;
-	int offered = 0;
+	int items_sent = 0;
 
 	Worker(const std::string &name, uint64_t seed)
 	{
@@ -100,14 +100,15 @@
 	FakePlatform platform;
 	jj_ms_t now = 1000;
 	std::vector<std::unique_ptr<Worker>> workers;
-	/** Items sent, by request body; those turned away are taken back. */
+	/** Times an item was sent, by request body; without runs that ended as
+	 * not run. */
 	std::map<std::string, int> sent;
 	std::map<std::string, bool> ever_sent;
 	uint64_t next_seed = 1;
-	/** What must always hold and did not. */
-	std::vector<std::string> broken;
+	/** Violated invariants. */
+	std::vector<std::string> violations;
 	Rows chunks;
-	/** Each write reaches all workers as a hint in the next round. */
+	/** All workers get the event of each write in the next round. */
 	bool hints = false;
 
 	explicit Fleet(const Rows &rows, int count = 2) : chunks(rows)
@@ -160,7 +161,7 @@
 	{
 		return "jobs/" + kJob + "/job";
 	}
-	/** In the index of active jobs. */
+	/** Key of the job's entry in the index of active jobs. */
 	static std::string
 	entry_key()
 	{
@@ -177,7 +178,7 @@
 		return "jobs/" + kJob + "/chunk/" + number(chunk);
 	}
 
-	/** One event at a worker: a call, the end of a run, or a tick. */
+	/** One event at a worker: result of a call, end of a run, or tick. */
 	void
 	step(size_t index, Fault fault = Fault::kNone)
 	{
@@ -197,7 +198,7 @@
 	{
 		Worker &worker = *workers[index];
 
-		jj_batch_set_room(worker.batch, worker.room);
+		jj_batch_set_room(worker.batch, worker.free_capacity);
 		jj_batch_tick(worker.batch, now, &worker.actions);
 		collect(worker);
 	}
@@ -220,7 +221,7 @@
 		if (key == job_key() && result.outcome == JJ_PLATFORM_OK &&
 		    result.value.data != nullptr &&
 		    strstr(result.value.data, "\"cancelled\"") != nullptr)
-			worker.saw_cancel = true;
+			worker.has_read_cancel = true;
 		jj_action_free(action);
 		jj_batch_take_result(
 		    worker.batch, &result, now, &worker.actions);
@@ -255,7 +256,7 @@
 		collect(*workers[index]);
 	}
 
-	/** The VM is lost; its successor has no memory. The others hear. */
+	/** Replaces a VM by a new process without state; all are notified. */
 	void
 	kill(size_t index)
 	{
@@ -270,14 +271,15 @@
 		}
 	}
 
-	/** One worker is told that another is dead; that one lives on. */
+	/** Reports a worker as failed to another one, though it still runs. */
 	void
-	accuse(size_t accused, size_t hearer)
+	report_false_failure(size_t running_worker, size_t receiver)
 	{
-		Worker &worker = *workers[hearer];
+		Worker &worker = *workers[receiver];
 
 		jj_batch_take_death(worker.batch,
-		    workers[accused]->writer.c_str(), now, &worker.actions);
+		    workers[running_worker]->writer.c_str(), now,
+		    &worker.actions);
 		collect(worker);
 	}
 
@@ -298,25 +300,25 @@
 			put_job("cancelled");
 	}
 
-	/** Steps all workers while time passes; false: no end in sight. */
+	/** Steps all workers while time passes; false: the job hasn't ended. */
 	bool
-	run_to_end(int most = 3000)
+	run_to_end(int max_rounds = 3000)
 	{
-		for (int i = 0; i < most && broken.empty(); i++) {
+		for (int i = 0; i < max_rounds && violations.empty(); i++) {
 			if (has_ended())
 				return true;
-			bool quiet = true;
+			bool idle = true;
 			for (size_t w = 0; w < workers.size(); w++) {
-				quiet &= is_quiet(w);
+				idle &= is_idle(w);
 				step(w);
 			}
-			now += quiet ? 1000 : 5;
+			now += idle ? 1000 : 5;
 			deliver_hints();
 		}
 		return has_ended();
 	}
 
-	/** Each round an event at each worker, and @p ms later the hints. */
+	/** Each round: one event at each worker, then @p ms, then the hints. */
 	void
 	run_rounds(int rounds, jj_ms_t ms)
 	{
@@ -338,7 +340,7 @@
 	}
 
 	bool
-	is_quiet(size_t index)
+	is_idle(size_t index)
 	{
 		return workers[index]->running.empty() && is_waiting(index);
 	}
@@ -384,7 +386,7 @@
 		return copy;
 	}
 
-	/** Error code of a published item; "" for an answered one. */
+	/** Error code of an item's published result; "" if it was answered. */
 	std::string
 	code(uint32_t chunk, size_t item, const char *name = "code")
 	{
@@ -408,7 +410,10 @@
 		return json_loadb(value.data(), value.size(), 0, nullptr);
 	}
 
-	/** Each out object: one result per item, in order, and honest. */
+	/**
+	 * Checks that each out object has one result per item, in order, and
+	 * that results agree with what was sent.
+	 */
 	void
 	check_outs()
 	{
@@ -453,7 +458,7 @@
 		json_decref(part);
 	}
 
-	/** Takes the actions that are not platform calls off the list. */
+	/** Removes and handles the actions that are not platform calls. */
 	void
 	collect(Worker &worker)
 	{
@@ -478,12 +483,15 @@
 			auto &item = action->body.item;
 			Run run = {item.item, item.body.data, item.idempotent};
 
-			if (worker.saw_cancel)
-				broken.push_back("sent after the cancel");
+			if (worker.has_read_cancel)
+				violations.push_back(
+				    "sent by a worker that read the cancel");
 			if (++sent[run.body] > 1 && !run.idempotent)
-				broken.push_back("sent twice: " + run.body);
+				violations.push_back("non-idempotent item sent "
+						     "twice: " +
+				    run.body);
 			ever_sent[run.body] = true;
-			worker.offered++;
+			worker.items_sent++;
 			worker.running.push_back(run);
 		}
 		if (action->kind == JJ_ACTION_ITEM_CANCEL) {
@@ -508,7 +516,8 @@
 
 			if (key.find("/out/") != std::string::npos &&
 			    !outs_seen.insert(key).second)
-				broken.push_back("written twice: " + key);
+				violations.push_back(
+				    "out object written twice: " + key);
 		}
 	}
 
@@ -519,7 +528,8 @@
 		json_t *results = json_object_get(out, "results");
 
 		if (json_array_size(results) != chunks[chunk].size())
-			broken.push_back("results missing");
+			violations.push_back("number of results is not that of "
+					     "the items");
 		for (size_t i = 0; i < json_array_size(results); i++) {
 			std::string id =
 			    std::to_string(chunk) + "-" + std::to_string(i);
@@ -541,13 +551,14 @@
 		    json_object_get(json_object_get(result, "error"), "run"));
 
 		if (custom_id == nullptr || id != custom_id)
-			broken.push_back("mixed results at " + id);
+			violations.push_back("result of another item at " + id);
 		if (run != nullptr && strcmp(run, "not_run") == 0 &&
 		    ever_sent[body])
-			broken.push_back("told not run, was sent: " + id);
+			violations.push_back(
+			    "reported as not run, but was sent: " + id);
 		if (json_is_object(json_object_get(result, "response")) &&
 		    !ever_sent[body])
-			broken.push_back("answered, never sent: " + id);
+			violations.push_back("answered, but never sent: " + id);
 	}
 };
 
--- a/tests/core/batch_model_test.cc
+++ b/tests/core/batch_model_test.cc
@@ -1,7 +1,7 @@
 /**
  * @file batch_model_test.cc
- * @brief Batch workers under interleaved events and faults, exhaustively to
- * a bounded depth from each point of a chunk's life.
+ * @brief Model test of batch workers: all interleavings of events and faults,
+ * to a bounded depth, from each point of the processing of a chunk.
  */
 #include "batch_fleet.h"
 
@@ -12,21 +12,21 @@
 enum Event {
 	kStepA,
 	kStepB,
-	kBurstA, /**< many steps of one worker: the other is frozen */
+	kBurstA, /**< many steps of one worker while the other is paused */
 	kBurstB,
-	kLoseA, /**< the next call takes effect, its answer is lost */
+	kLoseA, /**< the next call is applied, its answer is lost */
 	kLoseB,
 	kDownA, /**< the next call is refused */
-	kBreakA, /**< a run breaks after it was sent */
-	kLapse, /**< a lease and its margin pass, nobody is woken */
-	kKillA, /**< the VM is lost and replaced */
-	kAccuseA, /**< B hears that A is dead; A lives on */
+	kBreakA, /**< a run ends with unknown outcome */
+	kLapse, /**< a lease and its margin pass without an event */
+	kKillA, /**< the VM fails and is replaced */
+	kFalseFailureA, /**< A is reported as failed to B, but still runs */
 	kCancel, /**< the job's cancel is durable */
 	kEventCount
 };
 
 const char *const kNames[] = {"stepA", "stepB", "burstA", "burstB", "loseA",
-    "loseB", "downA", "breakA", "lapse", "killA", "accuseA", "cancel"};
+    "loseB", "downA", "breakA", "lapse", "killA", "falseFailureA", "cancel"};
 
 void
 apply(Fleet &fleet, int event)
@@ -59,8 +59,8 @@
 	case kKillA:
 		fleet.kill(0);
 		break;
-	case kAccuseA:
-		fleet.accuse(0, 1);
+	case kFalseFailureA:
+		fleet.report_false_failure(0, 1);
 		break;
 	default:
 		fleet.cancel();
@@ -72,7 +72,7 @@
 	const char *name;
 	Rows chunks;
 	int workers;
-	int prefix; /**< the model starts after 0 to so many steps of A */
+	int prefix; /**< sequences start after 0 to this many steps of A */
 	int depth;
 };
 
@@ -87,7 +87,7 @@
 	return text;
 }
 
-/** Runs one sequence; true when all that must hold held. */
+/** Runs one sequence; true when no invariant was violated. */
 bool
 run_sequence(
     const Scenario &scenario, int prefix, const std::vector<int> &events)
@@ -103,18 +103,18 @@
 	for (int i = 0; i < 100 && fleet.platform.has(fleet.entry_key()); i++)
 		fleet.run_rounds(1, 1000);
 	if (fleet.platform.has(fleet.entry_key()))
-		ADD_FAILURE() << "the index entry stays, "
+		ADD_FAILURE() << "the index entry was not deleted, "
 			      << describe(scenario, prefix, events);
-	for (const std::string &what : fleet.broken)
+	for (const std::string &what : fleet.violations)
 		ADD_FAILURE()
 		    << what << ", " << describe(scenario, prefix, events);
 	if (!ended)
 		ADD_FAILURE() << "the job never ended, "
 			      << describe(scenario, prefix, events);
-	return ended && fleet.broken.empty();
+	return ended && fleet.violations.empty();
 }
 
-/** Counts up through all sequences; false after the last. */
+/** Moves to the next sequence; false after the last. */
 bool
 advance(std::vector<int> *events)
 {
@@ -131,10 +131,11 @@
 };
 
 /*
- * Stories 3, 4, 5, 8, 9: an auditor finds an entry billed twice, or a job
- * that never ends. A worker freezes past its lease and wakes beside its
- * successor, a living one is held for dead, answers of claims, marks and publications are lost, the
- * platform refuses, the VM is lost (twice), and a cancel races it all.
+ * Stories 3, 4, 5, 8, 9: an item is run and billed twice, or a job never ends.
+ * Causes: a worker is paused past its lease and resumes beside its successor,
+ * a running worker is considered failed, answers to claims, start marks and
+ * publications are lost, the platform refuses calls, the VM fails (also
+ * twice), or a cancel comes in between.
  */
 TEST_P(BatchModel, HoldsInEachOrderOfEvents)
 {
--- a/tests/core/batch_test.cc
+++ b/tests/core/batch_test.cc
@@ -1,7 +1,7 @@
 /**
  * @file batch_test.cc
- * @brief The batch worker, story by story; orders of events are explored in
- * batch_model_test.cc.
+ * @brief The batch worker, failure by failure; orders of events are explored
+ * in batch_model_test.cc.
  */
 #include "batch_fleet.h"
 
@@ -13,9 +13,9 @@
 namespace
 {
 
-/** Steps one worker until it waits, leaving its runs where they are. */
+/** Steps one worker until it has no platform call; doesn't end its runs. */
 void
-settle(Fleet &fleet, size_t index)
+run_calls(Fleet &fleet, size_t index)
 {
 	fleet.tick(index);
 	while (FakePlatform::find_call(&fleet.workers[index]->actions))
@@ -23,10 +23,10 @@
 }
 
 void
-expect_sound(Fleet &fleet)
+expect_no_violations(Fleet &fleet)
 {
 	fleet.check_outs();
-	for (const std::string &what : fleet.broken)
+	for (const std::string &what : fleet.violations)
 		ADD_FAILURE() << what;
 }
 
@@ -77,9 +77,9 @@
 }
 
 /*
- * Story 6: a job never ends because one item fails each time it is tried.
- * Whatever the backend server does, each item ends with one result, and the
- * items beside it are not held up.
+ * Story 6: a job never ends because one item fails in each run. Whatever the
+ * backend server does, each item must end with one result, without delaying
+ * other items.
  */
 TEST(BatchItem, EndsWithOneResult)
 {
@@ -123,7 +123,7 @@
 		size_t next = 0;
 
 		for (int i = 0; i < 400 && !fleet.has_ended(); i++) {
-			settle(fleet, 0);
+			run_calls(fleet, 0);
 			bool other = !worker.running.empty() &&
 			    worker.running.front().body.find("\"0-0\"") ==
 				std::string::npos;
@@ -138,15 +138,15 @@
 		EXPECT_EQ(c.code, fleet.code(0, 0));
 		EXPECT_EQ(c.run, fleet.code(0, 0, "run"));
 		EXPECT_EQ("", fleet.code(1, 0));
-		EXPECT_EQ(c.sent + 1, worker.offered);
-		expect_sound(fleet);
+		EXPECT_EQ(c.sent + 1, worker.items_sent);
+		expect_no_violations(fleet);
 	}
 }
 
 /*
- * Story 3: a job runs twice as long as it should, or reports a conflict with
- * itself. A write takes effect, its answer is lost, and the repeat meets the
- * worker's own value: it must know it for its own, at each kind of write.
+ * Story 3: a job takes twice as long as it should, or reports a conflict with
+ * itself. A write is applied, its answer is lost, and the retry conflicts with
+ * it. The worker must recognize its own write, for each kind of write.
  */
 TEST(BatchWrite, KnowsItsOwnAfterALostAnswer)
 {
@@ -172,40 +172,41 @@
 			EXPECT_EQ(0u, fleet.counts(0).publish_conflicts);
 			EXPECT_EQ(0u, fleet.counts(0).claims_lost);
 			EXPECT_EQ(1u, fleet.counts(0).claims);
-			EXPECT_EQ(2, fleet.workers[0]->offered);
-			/* claim, start, out, done and close, none twice. */
+			EXPECT_EQ(2, fleet.workers[0]->items_sent);
+			/* Claim, start, out, done and close, none twice. */
 			EXPECT_EQ(objects + 5, fleet.platform.log.size());
-			/* Before the next listing would find the entry. */
+			/* The entry is deleted before the next listing. */
 			fleet.run_rounds(30, 100);
 			EXPECT_FALSE(fleet.platform.has(fleet.entry_key()));
 			EXPECT_LE(fleet.platform.writes, 8);
-			expect_sound(fleet);
+			expect_no_violations(fleet);
 		}
 	}
 }
 
 /*
- * A checkpoint's answer is lost, and all items end before it is repeated.
- * The chunk's record must still end as done, not as a claim that lapses.
+ * A checkpoint's answer is lost, and all items end before it is retried. The
+ * chunk's record must still end as done, and not remain a claim until it
+ * lapses.
  */
 TEST(BatchWrite, LostCheckpointIsSettledBeforeTheEnd)
 {
 	Fleet fleet(Rows{{true}}, 1);
 
-	settle(fleet, 0);
+	run_calls(fleet, 0);
 	fleet.now += 5000;
 	fleet.platform.next_writes = {Fault::kLoseAnswer};
-	settle(fleet, 0);
+	run_calls(fleet, 0);
 	fleet.end(0, JJ_ITEM_DONE);
 	EXPECT_TRUE(fleet.run_to_end());
 	EXPECT_EQ("done", fleet.text_of(fleet.record_key(0), "state"));
-	expect_sound(fleet);
+	expect_no_violations(fleet);
 }
 
 /*
- * Story 10: pallets are booked twice. A booking's start was written, but the
- * answer was lost; or the platform is down. It must not be sent before the
- * mark is known to stand.
+ * Story 10: pallets are booked twice. The write of a booking's start mark was
+ * not answered, as its answer was lost or the platform is down. The booking
+ * must not be sent before the mark is confirmed.
  */
 TEST(BatchWrite, NothingIsSentBeforeItsStartIsConfirmed)
 {
@@ -215,27 +216,27 @@
 	for (int i = 0; i < 5; i++)
 		fleet.platform.next_writes.push_back(Fault::kNoAnswer);
 	for (int i = 0; i < 5; i++) {
-		settle(fleet, 0);
-		EXPECT_EQ(0, fleet.workers[0]->offered);
+		run_calls(fleet, 0);
+		EXPECT_EQ(0, fleet.workers[0]->items_sent);
 		fleet.now += 60;
 	}
 	EXPECT_TRUE(fleet.run_to_end());
 	EXPECT_EQ("", fleet.code(0, 0));
-	expect_sound(fleet);
+	expect_no_violations(fleet);
 }
 
-/* Who may take a claim over, and when. */
+/* When another worker may take a claim over. */
 TEST(BatchClaim, IsTakenOverOnlyWhenItHasLapsed)
 {
 	struct {
 		const char *name;
 		jj_ms_t pass;
-		bool renews, dies, leaves, taken;
+		bool renews, fails, leaves, taken;
 	} const cases[] = {
 	    {"within lease and margin", 17000, false, false, false, false},
 	    {"after lease and margin", 18100, false, false, false, true},
 	    {"renewed meanwhile", 18100, true, false, false, false},
-	    {"holder dead", 300, false, true, false, true},
+	    {"holder failed", 300, false, true, false, true},
 	    {"holder left", 300, false, false, true, true},
 	};
 
@@ -243,61 +244,61 @@
 		SCOPED_TRACE(c.name);
 		Fleet fleet(Rows{{true}});
 
-		settle(fleet, 0);
-		settle(fleet, 1);
+		run_calls(fleet, 0);
+		run_calls(fleet, 1);
 		fleet.now += 300;
-		settle(fleet, 1);
+		run_calls(fleet, 1);
 		if (c.leaves)
 			fleet.leave(0);
 		if (c.renews)
 			fleet.now += c.pass / 2;
 		if (c.renews || c.leaves)
-			settle(fleet, 0);
+			run_calls(fleet, 0);
 		if (c.leaves)
 			fleet.change(1, fleet.record_key(0));
-		if (c.dies)
-			fleet.accuse(0, 1);
+		if (c.fails)
+			fleet.report_false_failure(0, 1);
 		fleet.now += c.renews ? c.pass / 2 : c.pass;
-		settle(fleet, 1);
+		run_calls(fleet, 1);
 		EXPECT_EQ(c.taken ? 1u : 0u, fleet.counts(1).takeovers);
-		EXPECT_EQ(c.taken ? 1 : 0, fleet.workers[1]->offered);
+		EXPECT_EQ(c.taken ? 1 : 0, fleet.workers[1]->items_sent);
 	}
 }
 
 /*
- * Story 4: an entry is billed twice. A worker is frozen past its lease with
- * items in flight, another takes the chunk over; the first wakes. It starts
- * nothing until it has written, finds its claim lost, stops its items and
- * publishes nothing.
+ * Story 4: an item is billed twice. A worker is paused past its lease with
+ * items in flight, another takes the chunk over, and the first resumes. It
+ * must start nothing before its next write, which shows that the claim is
+ * lost; then it cancels its items and publishes nothing.
  */
 TEST(BatchClaim, FrozenHolderWakesAndStops)
 {
 	Fleet fleet(Rows{{true, true, true}});
 
-	fleet.workers[0]->room = 1;
-	fleet.workers[1]->room = 0;
-	settle(fleet, 0);
-	EXPECT_EQ(1, fleet.workers[0]->offered);
-	settle(fleet, 1);
+	fleet.workers[0]->free_capacity = 1;
+	fleet.workers[1]->free_capacity = 0;
+	run_calls(fleet, 0);
+	EXPECT_EQ(1, fleet.workers[0]->items_sent);
+	run_calls(fleet, 1);
 	fleet.now += 18100;
-	fleet.workers[1]->room = 8;
-	settle(fleet, 1);
-	EXPECT_EQ(3, fleet.workers[1]->offered);
-	fleet.workers[0]->room = 8;
-	settle(fleet, 0);
-	EXPECT_EQ(1, fleet.workers[0]->offered);
+	fleet.workers[1]->free_capacity = 8;
+	run_calls(fleet, 1);
+	EXPECT_EQ(3, fleet.workers[1]->items_sent);
+	fleet.workers[0]->free_capacity = 8;
+	run_calls(fleet, 0);
+	EXPECT_EQ(1, fleet.workers[0]->items_sent);
 	EXPECT_EQ(1, fleet.workers[0]->cancelled_runs);
 	EXPECT_EQ(1u, fleet.counts(0).claims_lost);
 	EXPECT_TRUE(fleet.run_to_end());
 	EXPECT_EQ(0u, fleet.counts(0).published);
 	EXPECT_EQ(1u, fleet.counts(1).published);
-	expect_sound(fleet);
+	expect_no_violations(fleet);
 }
 
 /*
- * Story 4: a holder believes in a lease that the others see lapse. Its claim
- * took effect at the first try, whose answer was lost; the repeat is
- * confirmed ten seconds later. The lease counts from the first try.
+ * Story 4: a holder relies on a lease that has lapsed for the others. Its
+ * claim was applied at the first try, whose answer was lost; the retry is
+ * confirmed ten seconds later. The lease must count from the first try.
  */
 TEST(BatchClaim, LeaseCountsFromTheFirstTry)
 {
@@ -306,115 +307,116 @@
 	Worker &worker = *fleet.workers[0];
 
 	fleet.platform.next_writes = {Fault::kLoseAnswer};
-	settle(fleet, 0);
+	run_calls(fleet, 0);
 	fleet.now += 10000;
-	worker.room = 0;
+	worker.free_capacity = 0;
 	fleet.tick(0);
 	for (jj_action_t *next = FakePlatform::find_call(&worker.actions);
 	     next && next->body.platform.op != JJ_PLATFORM_UPDATE;
 	     next = FakePlatform::find_call(&worker.actions))
 		fleet.call(0);
-	/* Loaded, and the renewal is under way when the lease lapses. */
+	/* The part is loaded, and a renewal is under way when the lease
+	 * lapses. */
 	fleet.now += 5100;
-	worker.room = 1;
+	worker.free_capacity = 1;
 	fleet.tick(0);
-	EXPECT_EQ(0, worker.offered);
-	settle(fleet, 0);
-	EXPECT_EQ(1, worker.offered);
+	EXPECT_EQ(0, worker.items_sent);
+	run_calls(fleet, 0);
+	EXPECT_EQ(1, worker.items_sent);
 }
 
 /*
- * Story 4, the other way round: the first holder wakes with all its items
- * ended and publishes at once; the successor's results come second. The
- * first out object stands as it is.
+ * Story 4: a paused holder resumes with all its items ended and publishes at
+ * once, and its successor publishes after it. The first out object must stay
+ * unchanged.
  */
 TEST(BatchClaim, FirstPublishedResultStands)
 {
 	Fleet fleet(Rows{{true}});
 
-	settle(fleet, 0);
-	settle(fleet, 1);
+	run_calls(fleet, 0);
+	run_calls(fleet, 1);
 	fleet.now += 18100;
-	settle(fleet, 1);
-	EXPECT_EQ(1, fleet.workers[1]->offered);
+	run_calls(fleet, 1);
+	EXPECT_EQ(1, fleet.workers[1]->items_sent);
 	fleet.end(0, JJ_ITEM_DONE);
-	settle(fleet, 0);
+	run_calls(fleet, 0);
 	EXPECT_EQ(1u, fleet.counts(0).published);
 	std::string first = fleet.platform.objects[fleet.out_key(0)].value;
 	fleet.end(1, JJ_ITEM_REFUSED);
-	settle(fleet, 1);
+	run_calls(fleet, 1);
 	EXPECT_EQ(1u, fleet.counts(1).publish_conflicts);
 	EXPECT_TRUE(fleet.run_to_end());
 	EXPECT_EQ(first, fleet.platform.objects[fleet.out_key(0)].value);
 	EXPECT_EQ("completed", fleet.job_state());
-	expect_sound(fleet);
+	expect_no_violations(fleet);
 }
 
 /*
- * Story 5: a VM dies with items in flight, and its successor dies on the
- * same chunk. What was checkpointed is not run again; a booking that may
- * have been sent ends as "outcome unknown".
+ * Story 5: a VM fails with items in flight, and its successor fails with the
+ * same chunk. Items with a result in a checkpoint are not run again; a booking
+ * that may have been sent ends as "outcome unknown".
  */
 TEST(BatchClaim, TwoDeathsOnOneChunk)
 {
 	Fleet fleet(Rows{{true, true, false}});
 
-	fleet.workers[1]->room = 0;
-	settle(fleet, 0);
-	EXPECT_EQ(3, fleet.workers[0]->offered);
+	fleet.workers[1]->free_capacity = 0;
+	run_calls(fleet, 0);
+	EXPECT_EQ(3, fleet.workers[0]->items_sent);
 	fleet.end(0, JJ_ITEM_DONE);
 	fleet.now += 5100;
-	settle(fleet, 0);
+	run_calls(fleet, 0);
 	fleet.kill(0);
-	settle(fleet, 0);
+	run_calls(fleet, 0);
 	fleet.now += 300;
-	settle(fleet, 0);
+	run_calls(fleet, 0);
 	EXPECT_EQ(1u, fleet.counts(0).takeovers);
-	EXPECT_EQ(1, fleet.workers[0]->offered);
+	EXPECT_EQ(1, fleet.workers[0]->items_sent);
 	fleet.kill(0);
-	fleet.workers[1]->room = 8;
+	fleet.workers[1]->free_capacity = 8;
 	EXPECT_TRUE(fleet.run_to_end());
 	EXPECT_EQ("", fleet.code(0, 0));
 	EXPECT_EQ("", fleet.code(0, 1));
 	EXPECT_EQ("outcome_unknown", fleet.code(0, 2));
-	expect_sound(fleet);
+	expect_no_violations(fleet);
 }
 
 /*
- * A VM is lost between its out object and its record: the next holder must
- * not run the items again, only finish the record.
+ * A VM fails after it published the out object and before it marked the record
+ * as done. The next holder must not run the items again, only mark the record.
  */
 TEST(BatchClaim, PublishedChunkIsOnlyFinished)
 {
 	Fleet fleet(Rows{{true}});
 
-	settle(fleet, 0);
-	settle(fleet, 1);
+	run_calls(fleet, 0);
+	run_calls(fleet, 1);
 	fleet.now += 300;
-	settle(fleet, 1);
+	run_calls(fleet, 1);
 	fleet.end(0, JJ_ITEM_DONE);
 	while (!fleet.platform.has(fleet.out_key(0)))
 		fleet.call(0);
 	fleet.kill(0);
 	EXPECT_TRUE(fleet.run_to_end());
 	EXPECT_EQ(1u, fleet.counts(1).takeovers);
-	EXPECT_EQ(0, fleet.workers[0]->offered);
-	EXPECT_EQ(0, fleet.workers[1]->offered);
+	EXPECT_EQ(0, fleet.workers[0]->items_sent);
+	EXPECT_EQ(0, fleet.workers[1]->items_sent);
 	EXPECT_EQ("completed", fleet.job_state());
-	expect_sound(fleet);
+	expect_no_violations(fleet);
 }
 
 /*
- * A caller sees a job that never completes, though all its results are
- * there: the worker that published the last chunk was lost before it closed
- * the job, and the others know of nothing to do. They look again by and by.
+ * A job with all its results never completes: the worker that published the
+ * last chunk failed before it closed the job, and the others have no chunk of
+ * it left. A periodic refresh must close it.
  */
 TEST(BatchClaim, OrphanedJobIsClosed)
 {
 	Fleet fleet(Rows{{true}});
 
-	settle(fleet, 0);
-	settle(fleet, 1);
+	run_calls(fleet, 0);
+	run_calls(fleet, 1);
 	fleet.end(0, JJ_ITEM_DONE);
 	while (!fleet.platform.has(fleet.out_key(0)))
 		fleet.call(0);
@@ -425,9 +427,9 @@
 }
 
 /*
- * Each VM reads a job that ended days ago at each listing: the VM that
- * closed it was lost before it deleted the index entry, and the others
- * remember the job as ended. Whoever lists the entry deletes it.
+ * Each VM reads a job that ended days ago at each listing: the VM that closed
+ * it failed before it deleted the index entry, and the others remember the job
+ * as ended. Any VM that lists the entry must delete it.
  */
 TEST(BatchIndex, EntryOfAnEndedJobIsDeletedByAnybody)
 {
@@ -435,14 +437,14 @@
 		SCOPED_TRACE(remembers);
 		Fleet fleet(Rows{{true}});
 
-		settle(fleet, 0);
-		settle(fleet, 1);
+		run_calls(fleet, 0);
+		run_calls(fleet, 1);
 		fleet.end(0, JJ_ITEM_DONE);
 		while (fleet.job_state() == "running")
 			fleet.call(0);
 		if (remembers)
 			fleet.change(1, fleet.job_key());
-		settle(fleet, 1);
+		run_calls(fleet, 1);
 		fleet.kill(0);
 		fleet.workers.erase(fleet.workers.begin());
 		if (!remembers)
@@ -455,25 +457,26 @@
 }
 
 /*
- * A caller's job never runs, or workers read for ever what is not there: a
- * VM is lost, or slow, between the index entry and its job. An entry without
- * a job is deleted, after far longer than a submission may take.
+ * A VM fails, or is slow, after it wrote the index entry and before it created
+ * the job. The entry must be deleted, or workers would read the missing job
+ * forever; but only after a time far longer than a submission may take, or the
+ * job would never run.
  */
 TEST(BatchIndex, OrphanIsKeptForItsGrace)
 {
 	struct {
 		const char *name;
-		int job_after_s; /**< the job is there then; 0: never */
-		int renewed_after_s; /**< a resend writes the entry anew */
+		int job_after_s; /**< when the job is created; 0: never */
+		int renewed_after_s; /**< when a resend updates the entry */
 		int seconds;
 		bool entry;
 	} const cases[] = {
 	    {"within the grace", 0, 0, 590, true},
 	    {"after the grace", 0, 0, 700, false},
-	    {"job comes late", 5, 0, 120, false},
-	    {"job comes much later", 300, 0, 900, false},
+	    {"job created after 5 s", 5, 0, 120, false},
+	    {"job created after 300 s", 300, 0, 900, false},
 	    {"submitted again", 0, 500, 1000, true},
-	    {"submitted again, then not", 0, 500, 1300, false},
+	    {"submitted again, grace over", 0, 500, 1300, false},
 	};
 
 	for (const auto &c : cases) {
@@ -504,9 +507,9 @@
 }
 
 /*
- * A worker read the job as absent and deletes its entry; a submission that
- * came upon that entry wrote it anew in between, and its job would be found
- * by nobody. The deletion names the version that was read.
+ * A worker has read the job as absent and deletes its entry. In between a
+ * submission has updated that entry, and its job would be found by no worker.
+ * The deletion must be conditional on the version that was listed.
  */
 TEST(BatchIndex, OrphanThatIsWrittenAnewStays)
 {
@@ -525,13 +528,13 @@
 	fleet.run_rounds(8000, 100);
 	EXPECT_TRUE(raced);
 	EXPECT_EQ("completed", fleet.job_state());
-	expect_sound(fleet);
+	expect_no_violations(fleet);
 }
 
 /*
- * The watch relay lost events: a new job waits for the next listing, half a
- * minute away. Told of the loss, the worker lists soon; so too when the loss
- * is told during a listing.
+ * The watch relay lost events, so that a new job would wait half a minute for
+ * the next listing. Notified of the loss, also during a listing, the worker
+ * must list soon.
  */
 TEST(BatchIndex, IsListedSoonAfterLostEvents)
 {
@@ -544,39 +547,39 @@
 		fleet.platform.objects.erase(fleet.entry_key());
 		fleet.tick(0);
 		if (!during)
-			settle(fleet, 0);
+			run_calls(fleet, 0);
 		jj_batch_take_change(fleet.workers[0]->batch, "", 0, fleet.now,
 		    &fleet.workers[0]->actions);
-		settle(fleet, 0);
+		run_calls(fleet, 0);
 		fleet.platform.objects = full.objects;
 		fleet.run_rounds(30, 100);
-		EXPECT_EQ(1, fleet.workers[0]->offered);
+		EXPECT_EQ(1, fleet.workers[0]->items_sent);
 	}
 }
 
-/* All VMs were started at once; their listings must not stay in step. */
+/* The listings of VMs that started together must not stay synchronized. */
 TEST(BatchIndex, ListingsAreSpread)
 {
 	Fleet fleet(Rows{{true}}, 100);
 	std::map<jj_ms_t, int> lists;
 
 	for (auto &worker : fleet.workers)
-		worker->room = 0;
+		worker->free_capacity = 0;
 	fleet.platform.before = [&](const jj_platform_call_t &call) {
 		if (strcmp(call.key, JJ_ACTIVE_PREFIX) == 0)
 			lists[fleet.now / 1000]++;
 	};
 	fleet.run_rounds(1000, 100);
 	ASSERT_GE(lists.size(), 60u);
-	EXPECT_EQ(100, lists[1]) << "the first, at the start";
+	EXPECT_EQ(100, lists[1]) << "first listing, at the start";
 	for (const auto &entry : lists)
 		EXPECT_LE(entry.second, entry.first == 1 ? 100 : 15);
 }
 
 /*
- * Story 8: the platform is down for an hour while batch runs. Finished work
- * is kept and published once the platform is back, nothing is run again,
- * and idempotent items of claimed chunks go on meanwhile.
+ * Story 8: the platform is down for an hour while a job runs. Results must be
+ * kept and published after the outage, without running an item again.
+ * Idempotent items of claimed chunks run during the outage.
  */
 TEST(BatchOutage, FinishedWorkIsKeptAndPublishedOnce)
 {
@@ -584,65 +587,65 @@
 		Fleet fleet(Rows{{true, true, true, true}}, 1);
 		Worker &worker = *fleet.workers[0];
 
-		worker.room = 1;
-		settle(fleet, 0);
+		worker.free_capacity = 1;
+		run_calls(fleet, 0);
 		fleet.platform.fault = fault;
 		fleet.end(0, JJ_ITEM_DONE);
 		for (int i = 0; i < 360; i++) {
 			fleet.now += 10000;
-			settle(fleet, 0);
+			run_calls(fleet, 0);
 			fleet.end(0, JJ_ITEM_DONE);
 		}
-		EXPECT_EQ(4, worker.offered);
+		EXPECT_EQ(4, worker.items_sent);
 		EXPECT_LT(fleet.platform.writes, 400);
 		fleet.platform.fault = Fault::kNone;
 		EXPECT_TRUE(fleet.run_to_end());
-		EXPECT_EQ(4, worker.offered);
+		EXPECT_EQ(4, worker.items_sent);
 		EXPECT_EQ(1u, fleet.counts(0).published);
-		expect_sound(fleet);
+		expect_no_violations(fleet);
 	}
 }
 
 /*
- * Story 9: a cancelled job goes on and costs money. The cancel's watch event
- * is lost; the holder reads the job with each renewal, stops its streams,
- * starts nothing more, and what was done stays readable.
+ * Story 9: a cancelled job still runs and costs money, as the watch event of
+ * the cancel was lost. The holder reads the job after each renewal; it must
+ * cancel its runs and start no more, and keep the results so far.
  */
 TEST(BatchCancel, StopsWithinOneCheckpoint)
 {
 	Fleet fleet(Rows{{true, true, false, true}, {true}}, 1);
 	Worker &worker = *fleet.workers[0];
 
-	worker.room = 0;
-	settle(fleet, 0);
-	worker.room = 3;
-	settle(fleet, 0);
-	int offered = worker.offered;
+	worker.free_capacity = 0;
+	run_calls(fleet, 0);
+	worker.free_capacity = 3;
+	run_calls(fleet, 0);
+	int items_sent = worker.items_sent;
 	int running = (int)worker.running.size();
 	fleet.end(0, JJ_ITEM_DONE);
 	fleet.cancel();
 	fleet.now += 5000;
-	worker.room = 0;
-	settle(fleet, 0);
-	worker.room = 8;
-	settle(fleet, 0);
-	EXPECT_EQ(offered, worker.offered);
+	worker.free_capacity = 0;
+	run_calls(fleet, 0);
+	worker.free_capacity = 8;
+	run_calls(fleet, 0);
+	EXPECT_EQ(items_sent, worker.items_sent);
 	EXPECT_EQ(running - 1, worker.cancelled_runs);
 	EXPECT_TRUE(fleet.run_to_end());
 	EXPECT_EQ("cancelled", fleet.job_state());
-	EXPECT_EQ(offered, worker.offered);
+	EXPECT_EQ(items_sent, worker.items_sent);
 	json_t *job = fleet.load(fleet.job_key());
 	EXPECT_EQ(1, json_integer_value(json_object_get(job, "done")));
 	EXPECT_EQ(
 	    4, json_integer_value(json_object_get(job, "cancelled_items")));
 	json_decref(job);
-	expect_sound(fleet);
+	expect_no_violations(fleet);
 }
 
 /*
- * Story 9: an item starts after its job's cancel is in force. A worker that
- * knows the job as running claims a chunk of it after the cancel: it reads
- * the job once its claim stands, and starts nothing.
+ * Story 9: an item starts after its job's cancel. A worker that knows the job
+ * as running claims a chunk of it after the cancel. It must read the job after
+ * its claim and start nothing.
  */
 TEST(BatchCancel, ClaimAfterTheCancelStartsNothing)
 {
@@ -654,69 +657,70 @@
 		fleet.call(0);
 	fleet.cancel();
 	EXPECT_TRUE(fleet.run_to_end());
-	EXPECT_EQ(0, fleet.workers[0]->offered);
+	EXPECT_EQ(0, fleet.workers[0]->items_sent);
 	EXPECT_EQ("cancelled", fleet.job_state());
-	expect_sound(fleet);
+	expect_no_violations(fleet);
 }
 
 /*
- * Story 9 and 12: a caller is told that an item of a cancelled job was not
- * run, and it was. A live holder is held for dead, its successor runs the
- * items; then the job is cancelled and the first holder hears of it.
+ * Stories 9 and 12: an item of a cancelled job is reported as not run, but was
+ * run. A running holder is considered failed and its successor runs the items;
+ * then the job is cancelled and the first holder is notified of it.
  */
 TEST(BatchCancel, HolderThatWasReplacedDoesNotSayNotRun)
 {
 	Fleet fleet(Rows{{true, true}});
 
-	fleet.workers[0]->room = 1;
-	settle(fleet, 0);
-	settle(fleet, 1);
-	fleet.accuse(0, 1);
+	fleet.workers[0]->free_capacity = 1;
+	run_calls(fleet, 0);
+	run_calls(fleet, 1);
+	fleet.report_false_failure(0, 1);
 	fleet.now += 300;
-	settle(fleet, 1);
-	EXPECT_EQ(2, fleet.workers[1]->offered);
+	run_calls(fleet, 1);
+	EXPECT_EQ(2, fleet.workers[1]->items_sent);
 	fleet.cancel();
 	fleet.change(0, fleet.job_key());
-	settle(fleet, 0);
+	run_calls(fleet, 0);
 	EXPECT_EQ(1u, fleet.counts(0).claims_lost);
 	EXPECT_TRUE(fleet.run_to_end());
-	expect_sound(fleet);
+	expect_no_violations(fleet);
 }
 
 /*
- * Story 24: a planned stop cuts a booking off, or leaves its chunk waiting
- * for a lease. Idempotent runs are stopped, a booking is awaited, then the
- * chunk is released with what is done, and the next VM goes on at once.
+ * Story 24: a planned stop interrupts a booking, or leaves its chunk claimed
+ * until the lease lapses. Idempotent runs must be cancelled and bookings
+ * awaited; then the chunk is released with its results, and the next VM claims
+ * it at once.
  */
 TEST(BatchLeave, ReleasesWithResults)
 {
 	Fleet fleet(Rows{{true, true, false}});
 
-	fleet.workers[1]->room = 0;
-	settle(fleet, 0);
+	fleet.workers[1]->free_capacity = 0;
+	run_calls(fleet, 0);
 	fleet.end(0, JJ_ITEM_DONE);
 	fleet.leave(0);
-	settle(fleet, 0);
+	run_calls(fleet, 0);
 	EXPECT_EQ(1, fleet.workers[0]->cancelled_runs);
 	EXPECT_EQ(1u, fleet.workers[0]->running.size());
 	EXPECT_FALSE(jj_batch_is_idle(fleet.workers[0]->batch));
 	fleet.end(0, JJ_ITEM_DONE);
-	settle(fleet, 0);
+	run_calls(fleet, 0);
 	EXPECT_TRUE(jj_batch_is_idle(fleet.workers[0]->batch));
 	EXPECT_EQ("released", fleet.text_of(fleet.record_key(0), "state"));
-	fleet.workers[1]->room = 8;
+	fleet.workers[1]->free_capacity = 8;
 	fleet.now += 300;
-	settle(fleet, 1);
-	EXPECT_EQ(1, fleet.workers[1]->offered);
+	run_calls(fleet, 1);
+	EXPECT_EQ(1, fleet.workers[1]->items_sent);
 	EXPECT_TRUE(fleet.run_to_end());
 	EXPECT_EQ("", fleet.code(0, 2));
-	expect_sound(fleet);
+	expect_no_violations(fleet);
 }
 
 /*
- * Story 6 at the scale of a service: a service takes nothing for hours, and
- * other services' chunks wait behind its chunks. Stalled chunks keep their
- * claims, but not the places of others.
+ * Story 6 for a whole service: it accepts nothing for hours, and chunks of
+ * other services wait behind its chunks. Stalled chunks keep their claims, but
+ * must not count against the limit of claimed chunks.
  */
 TEST(BatchItem, StalledServiceDoesNotHoldUpOthers)
 {
@@ -726,7 +730,7 @@
 	Worker &worker = *fleet.workers[0];
 
 	for (int i = 0; i < 600 && !fleet.platform.has(fleet.out_key(5)); i++) {
-		settle(fleet, 0);
+		run_calls(fleet, 0);
 		while (!worker.running.empty())
 			fleet.end(0,
 			    worker.running.front().idempotent
@@ -737,24 +741,24 @@
 	EXPECT_TRUE(fleet.platform.has(fleet.out_key(5)));
 	EXPECT_FALSE(fleet.has_ended());
 	EXPECT_TRUE(fleet.run_to_end());
-	expect_sound(fleet);
+	expect_no_violations(fleet);
 }
 
-/* Items in the hands of the servers never exceed the room given. */
+/* Items sent to backend servers never exceed the free capacity. */
 TEST(BatchRoom, BoundsWhatIsOffered)
 {
 	Fleet fleet(Rows{std::vector<bool>(20, true)}, 1);
 
-	fleet.workers[0]->room = 3;
-	settle(fleet, 0);
-	EXPECT_EQ(3, fleet.workers[0]->offered);
-	fleet.workers[0]->room = 0;
-	settle(fleet, 0);
-	EXPECT_EQ(3, fleet.workers[0]->offered);
+	fleet.workers[0]->free_capacity = 3;
+	run_calls(fleet, 0);
+	EXPECT_EQ(3, fleet.workers[0]->items_sent);
+	fleet.workers[0]->free_capacity = 0;
+	run_calls(fleet, 0);
+	EXPECT_EQ(3, fleet.workers[0]->items_sent);
 	EXPECT_GT(jj_batch_next(fleet.workers[0]->batch), fleet.now);
 }
 
-/* One huge answer would make an out object that the platform refuses. */
+/* Huge answers would make an out object that the platform refuses. */
 TEST(BatchRecord, ResultsAreMadeToFit)
 {
 	std::string big = "\"" + std::string(700000, 'x') + "\"";
@@ -778,8 +782,8 @@
 }
 
 /*
- * A checkpoint is full: results of bookings must be in it, since the next
- * holder cannot run them again; others may be left out.
+ * When a checkpoint is full, it must have the results of bookings, as the next
+ * holder can't run them again; others may be left out.
  */
 TEST(BatchRecord, ResultsOfBookingsGoFirst)
 {
@@ -809,18 +813,18 @@
 		jj_result_clear(&result);
 }
 
-/** Shares of one service only, as a steward of that service's servers has. */
+/** Limits of a VM that is steward only of one service's backend servers. */
 int32_t
-only(void *service, const char *asked)
+limit_of_one_service(void *service, const char *queried)
 {
-	return strcmp(asked, (const char *)service) == 0 ? 4 : -1;
+	return strcmp(queried, (const char *)service) == 0 ? 4 : -1;
 }
 
 /*
  * A job with prompts and bookings never ends although all VMs are idle. Its
- * chunk is held by a VM that is steward of the engine only: the bookings find
- * no room there, its lease is renewed for ever, and the VM that could run
- * them never gets the chunk.
+ * chunk is held by a VM that is steward of the engine only and has no share
+ * for the bookings. Its lease is renewed forever, so that the VM which could
+ * run them never gets the chunk.
  */
 TEST(BatchShare, ChunkGoesToTheVmThatHasAShareInItsRest)
 {
@@ -828,10 +832,12 @@
 	char prompts[] = "narrador";
 	char bookings[] = "ordini";
 
-	jj_batch_set_limits(fleet.workers[0]->batch, only, prompts);
-	jj_batch_set_limits(fleet.workers[1]->batch, only, bookings);
+	jj_batch_set_limits(
+	    fleet.workers[0]->batch, limit_of_one_service, prompts);
+	jj_batch_set_limits(
+	    fleet.workers[1]->batch, limit_of_one_service, bookings);
 	EXPECT_TRUE(fleet.run_to_end());
-	expect_sound(fleet);
+	expect_no_violations(fleet);
 	for (uint32_t chunk = 0; chunk < 2; chunk++) {
 		for (size_t i = 0; i < fleet.chunks[chunk].size(); i++)
 			EXPECT_EQ("", fleet.code(chunk, i));
@@ -839,21 +845,21 @@
 }
 
 /*
- * A caller is told "not run" of an item that an engine had begun. It was taken
- * back to make room for online requests, and the job cancelled before it was
- * sent again.
+ * An item is reported as "not run" though an engine had begun it. It was
+ * withdrawn in favour of online requests, and the job was cancelled before the
+ * item was sent again.
  */
 TEST(BatchCancel, WithdrawnItemIsNotCalledNotRun)
 {
 	Fleet fleet(Rows{{true}}, 1);
 
-	settle(fleet, 0);
+	run_calls(fleet, 0);
 	fleet.end(0, JJ_ITEM_WITHDRAWN);
 	fleet.cancel();
 	fleet.change(0, fleet.job_key());
-	settle(fleet, 0);
+	run_calls(fleet, 0);
 	EXPECT_TRUE(fleet.run_to_end());
-	expect_sound(fleet);
+	expect_no_violations(fleet);
 	EXPECT_EQ("unknown", fleet.code(0, 0, "run"));
 }
 
--- a/tests/core/intake_test.cc
+++ b/tests/core/intake_test.cc
@@ -31,7 +31,7 @@
 	return all;
 }
 
-/** An upload on a fake platform in virtual time. */
+/** An upload to a fake platform, in virtual time. */
 struct Upload {
 	FakePlatform platform;
 	jj_intake_settings_t settings = {
@@ -54,11 +54,11 @@
 	{
 		intake = jj_intake_create(&settings, 5, "padana");
 	}
-	/** Runs calls and waits; at most @p most calls. */
+	/** Runs platform calls and timers; at most @p max_calls calls. */
 	void
-	run(int most = 1000)
+	run(int max_calls = 1000)
 	{
-		while (most > 0) {
+		while (max_calls > 0) {
 			jj_action_t *action = FakePlatform::find_call(&actions);
 
 			if (!action) {
@@ -76,10 +76,10 @@
 			jj_action_free(action);
 			jj_intake_take_result(intake, &result, now, &actions);
 			jj_platform_result_clear(&result);
-			most--;
+			max_calls--;
 		}
 	}
-	/** Feeds all of @p text by pieces, then finishes. */
+	/** Feeds @p text in pieces of @p piece bytes, then finishes. */
 	void
 	upload(const std::string &text, size_t piece = 1 << 20)
 	{
@@ -233,7 +233,8 @@
 	u.begin();
 	taken =
 	    jj_intake_feed(u.intake, text.data(), text.size(), 0, &u.actions);
-	EXPECT_EQ(taken, lines(6).size()) << "two parts of three wait";
+	EXPECT_EQ(taken, lines(6).size())
+	    << "not stopped at two pending parts of three lines";
 	EXPECT_FALSE(jj_intake_wants_more(u.intake));
 	EXPECT_EQ(jj_intake_feed(u.intake, "x", 1, 0, &u.actions), 0u);
 	u.run(1);
@@ -241,9 +242,9 @@
 }
 
 /*
- * A file of quotes and backslashes grows when its lines become JSON strings.
- * The platform refuses a value above a megabyte for good, so the upload
- * would fail on each try. Cause: parts cut by the size of the raw lines.
+ * A file of quotes and backslashes grows when its lines are encoded as JSON
+ * strings. If parts were limited by the size of the raw lines, the platform
+ * would refuse values above a megabyte in each try, and the upload would fail.
  */
 TEST(Intake, PartsFitTheirObjectAfterEscaping)
 {
@@ -264,10 +265,9 @@
 }
 
 /*
- * The platform takes a part, its answer is lost, and the repeat meets a
- * conflict: a caller would see a failed upload of a file that is durable, or
- * an upload given up on in a short outage. Cause: one's own write taken for
- * another's, or no repeat.
+ * A part is written, its answer is lost, and the retry conflicts. Guards
+ * against a failed upload of a file that is durable (its own write considered
+ * another's), and an upload that fails in a short outage (no retry).
  */
 TEST(Intake, WritesThroughFaults)
 {
@@ -290,7 +290,8 @@
 	    {"lost, then the read fails", {F::kLoseAnswer},
 		{F::kRefuse, F::kNoAnswer, F::kLimit}, F::kNone,
 		JJ_INTAKE_DONE},
-	    {"repeated below us", {F::kConflict}, {}, F::kNone, JJ_INTAKE_DONE},
+	    {"resent by the HTTP client", {F::kConflict}, {}, F::kNone,
+		JJ_INTAKE_DONE},
 	    {"refused and limited",
 		{F::kRefuse, F::kLimit, F::kRefuse, F::kLimit, F::kRefuse}, {},
 		F::kNone, JJ_INTAKE_DONE},
@@ -341,9 +342,9 @@
 }
 
 /*
- * The VM that takes an upload is lost after any of its calls, or the caller
- * sends a bad line while parts are under way. A job named on such a file
- * would lose the items that never came. Cause: a manifest before its parts.
+ * The VM that receives an upload fails after any of its calls, or the caller
+ * sends an invalid line while parts are being written. If the manifest were
+ * written before all parts, a job with this file would lose items.
  */
 TEST(Intake, AFileIsNeverCompleteBeforeItsParts)
 {
--- a/tests/core/job_test.cc
+++ b/tests/core/job_test.cc
@@ -15,7 +15,7 @@
 using F = Fault;
 const std::vector<F> kManyRefused(10, F::kRefuse);
 
-/** A job operation's answer. */
+/** Answer of a job operation. */
 struct Answer {
 	int count = 0;
 	int status = 0;
@@ -46,7 +46,7 @@
 	}
 };
 
-/** The job operations of one VM on a platform that others share. */
+/** The job operations of one VM; several share a platform. */
 struct Vm {
 	FakePlatform &platform;
 	jj_jobs_t *jobs;
@@ -66,7 +66,7 @@
 		jj_jobs_destroy(jobs);
 		jj_actions_clear(&actions);
 	}
-	/** Runs calls and waits until the answer, and takes it. */
+	/** Runs platform calls and timers until the answer; returns it. */
 	Answer
 	run()
 	{
@@ -201,7 +201,7 @@
 			count += object.first.find("active/") == 0;
 		return count;
 	}
-	/** Ends the job as a batch worker does; false when it has ended. */
+	/** Completes the job as a batch worker does; false: it wasn't running. */
 	bool
 	finish(const std::string &id)
 	{
@@ -224,10 +224,10 @@
 };
 
 /*
- * A job is acknowledged and its VM dies, or the platform loses the answer to
- * the create, or is down. The caller would see a job that never runs, a
- * second job, or a refusal of a job that runs. Cause: an answer before the
- * object exists, a blind repeat, or "not run" said without proof.
+ * A VM fails after it acknowledged a job, or the platform is down or loses the
+ * answer to the create. Guards against a job that never runs (acknowledged
+ * before its object exists), a second job (retried without a check), and a job
+ * that runs though "not_run" was answered (without verification).
  */
 TEST_F(Jobs, SubmitsThroughFaults)
 {
@@ -246,13 +246,13 @@
 		"", 1},
 	    {"not done, then lost", {F::kNone, F::kNoAnswer, F::kLoseAnswer},
 		{}, F::kNone, 200, "", 1},
-	    {"repeated below us", {F::kNone, F::kConflict}, {}, F::kNone, 200,
-		"", 1},
+	    {"resent by the HTTP client", {F::kNone, F::kConflict}, {},
+		F::kNone, 200, "", 1},
 	    {"entry's answer lost", {F::kLoseAnswer}, {}, F::kNone, 200, "", 1},
 	    {"entry not done, then lost", {F::kNoAnswer, F::kLoseAnswer}, {},
 		F::kNone, 200, "", 1},
-	    {"entry repeated below us", {F::kConflict}, {}, F::kNone, 200, "",
-		1},
+	    {"entry resent by the HTTP client", {F::kConflict}, {}, F::kNone,
+		200, "", 1},
 	    {"both answers lost", {F::kLoseAnswer, F::kLoseAnswer}, {},
 		F::kNone, 200, "", 1},
 	    {"refused, limited", {F::kRefuse, F::kLimit}, {F::kRefuse},
@@ -282,12 +282,12 @@
 		EXPECT_EQ(answer.field("run"), c.run);
 		EXPECT_EQ(job_count(fresh), c.jobs);
 		EXPECT_LE(job_count(fresh), entry_count(fresh))
-		    << "a job that no worker finds";
+		    << "a job without an index entry, which no worker finds";
 		if (c.status == 503) {
 			EXPECT_EQ(answer.field("code"), "platform_unavailable");
 			EXPECT_EQ(answer.retry_after, 2000);
-			EXPECT_LE(answer.at, 700) << "not held back";
-			/* The advice holds: a resend gives the one job. */
+			EXPECT_LE(answer.at, 700) << "503 was delayed";
+			/* A resend, as advised, gives the one job. */
 			fresh.next_writes.clear();
 			fresh.next_reads.clear();
 			fresh.fault = F::kNone;
@@ -299,11 +299,11 @@
 	}
 }
 
-/* As above: the acknowledging VM is lost at the moment of its answer. */
+/* As above: the acknowledging VM fails as soon as it has answered. */
 TEST_F(Jobs, AnswersOnlyWhatIsDurable)
 {
 	vm.begin_submit(request());
-	/* The file, is there such a job, its index entry, the job. */
+	/* Read the file, read the job, create the entry, create the job. */
 	for (int calls = 0; calls < 4; calls++) {
 		Answer early;
 		EXPECT_FALSE(vm.take(&early));
@@ -324,9 +324,10 @@
 }
 
 /*
- * A client resends a job: to another VM, after the end, with other content.
- * It would see two jobs, each of which books its pallets, or another's job
- * under its own key. Cause: ids not tied to the key, content not compared.
+ * A client resends a submission: to another VM, after the job's end, or with
+ * other content. Guards against two jobs that each book the same pallets (ids
+ * not derived from the key), and against another job being returned for the
+ * key (content not compared).
  */
 TEST_F(Jobs, KnowsAResend)
 {
@@ -378,8 +379,8 @@
 }
 
 /*
- * Two VMs take the same submission at once; neither sees the other's. Two
- * jobs would run. The second create lands just before the first.
+ * Two VMs receive the same submission at the same time and would create two
+ * jobs. The second VM's create is applied just before that of the first.
  */
 TEST_F(Jobs, SubmittedTwiceAtOnceIsOneJob)
 {
@@ -400,10 +401,10 @@
 			EXPECT_EQ(first.text, second.text);
 		}
 	}
-	EXPECT_EQ(job_count(), 2) << "one for each key";
+	EXPECT_EQ(job_count(), 2) << "not one job for each key";
 }
 
-/* Without a key, only the write's own id tells a lost answer's job. */
+/* Without a key, a job whose answer was lost is found by its operation id. */
 TEST_F(Jobs, WithoutAKeyKnowsItsOwnWrite)
 {
 	platform.next_writes = {F::kNone, F::kLoseAnswer};
@@ -415,9 +416,10 @@
 }
 
 /*
- * Each worker reads what the index of active jobs names. A client resends a
- * job for days: were each resend of an ended job to enter it again, the
- * workers would read it again and again. What a submission costs, too.
+ * Each worker reads all jobs in the index. A client may resend a submission
+ * for days; a resend of an ended job must not add it to the index again, where
+ * all workers would read it each time. Also checks the number of platform
+ * calls of a submission.
  */
 TEST_F(Jobs, EntersOnlyActiveJobsIntoTheIndex)
 {
@@ -454,9 +456,9 @@
 }
 
 /*
- * A caller holds an acknowledgment of a job that never runs. Its submission
- * came upon the entry of an earlier one whose VM was lost; a worker, for
- * which that entry was an orphan, deleted it while the job was created.
+ * An acknowledged job never runs. Its submission found the entry of an earlier
+ * one whose VM had failed, and a worker deleted that entry as an orphan while
+ * the job was created. So the submission must update the entry first.
  */
 TEST_F(Jobs, AnOldEntryIsWrittenAnewBeforeTheJob)
 {
@@ -475,7 +477,7 @@
 			if (done || !(deleted_first ? update : job))
 				return;
 			done = true;
-			/* The worker's deletion names what it saw. */
+			/* The worker deletes only the version it has seen. */
 			if (platform.objects[entry].version == seen)
 				platform.objects.erase(entry);
 		};
@@ -488,10 +490,10 @@
 }
 
 /*
- * As above: a VM is frozen between its entry and its job for longer than an
- * entry without a job is kept. It wakes and must create no job unseen by the
- * workers; if it did so before it was frozen, a resend must look after the
- * entry.
+ * As above: after writing the entry a VM is paused for longer than an entry
+ * without a job is kept. When it resumes, it must not create a job that the
+ * workers can't find. If the job exists without an entry, a resend must create
+ * the entry.
  */
 TEST_F(Jobs, FrozenBetweenEntryAndJobCreatesNothing)
 {
@@ -512,9 +514,9 @@
 }
 
 /*
- * The platform takes a call and never answers. The caller waits for ever, or
- * is told "not run" while the create is still on its way. The late answer
- * must not reach the next operation either.
+ * The platform never answers a call. Guards against a caller that waits
+ * forever, and against "not_run" while the create may still be applied. A late
+ * answer must not reach the next operation.
  */
 TEST_F(Jobs, GivesUpAtTheDeadline)
 {
@@ -560,7 +562,8 @@
 	Answer answer = vm.submit(request());
 	EXPECT_EQ(answer.status, 503);
 	EXPECT_EQ(answer.retry_after, 3000);
-	EXPECT_EQ(answer.at, 6000) << "the next try would miss the deadline";
+	EXPECT_EQ(answer.at, 6000)
+	    << "not ended when the next try would be after the deadline";
 }
 
 TEST_F(Jobs, RefusesAMalformedSubmission)
@@ -625,9 +628,10 @@
 }
 
 /*
- * A cancel meets a completion, another cancel, a lost answer or an outage.
- * The operator would see a job that goes on after "cancelled", or a complete
- * job whose results are called cancelled. Cause: a write without a version.
+ * A cancel races with a completion, another cancel, a lost answer or an
+ * outage. Guards against a job that still runs after "cancelled", and a
+ * completed job that is shown as cancelled, both caused by an unconditional
+ * write.
  */
 TEST_F(Jobs, CancelsByCompareAndSwap)
 {
@@ -705,7 +709,7 @@
 	}
 }
 
-/* A completion that comes after the cancel does not undo it. */
+/* A completion after the cancel doesn't undo it. */
 TEST_F(Jobs, ACancelledJobStaysCancelled)
 {
 	std::string id = vm.submit(request()).field("id");
@@ -717,8 +721,8 @@
 }
 
 /*
- * A caller asks for a job whose "id" holds a slash. It would be shown, or
- * would change, another object that has the shape of a job's.
+ * A caller requests a job with a slash in its id. Without a check this would
+ * read or change another object that has the format of a job's.
  */
 TEST_F(Jobs, AnIdIsNoPath)
 {
@@ -735,7 +739,7 @@
 	EXPECT_EQ(platform.objects["jobs/" + id + "/job"].value, value);
 }
 
-/* A key that conflicts for ever must not use up the platform's rate. */
+/* A key that always conflicts must not use up the platform's rate limit. */
 TEST_F(Jobs, GivesUpOnEndlessConflicts)
 {
 	std::string id = vm.submit(request()).field("id");
@@ -809,8 +813,8 @@
 }
 
 /*
- * Results are read while the job runs, after a cancel, from a VM that never
- * saw the job, and while the platform is slow or down.
+ * Reads results while the job runs, after a cancel, from a VM that doesn't
+ * know the job, and while the platform is slow or down.
  */
 TEST_F(Jobs, ReadsResultsFromAnyVm)
 {
@@ -921,7 +925,8 @@
 	ASSERT_TRUE(jj_job_decode(&job, &value, 9));
 	EXPECT_EQ(job.version, 9u);
 	jj_bytes_t again = jj_job_encode(&job, "vm-1/0000000000000001");
-	EXPECT_EQ(std::string(again.data), text) << "nothing is lost";
+	EXPECT_EQ(std::string(again.data), text)
+	    << "decoded and encoded object differs";
 	jj_bytes_free(&again);
 	jj_bytes_free(&value);
 	jj_job_clear(&job);
