--- a/src/core/batch_chunk.h
+++ b/src/core/batch_chunk.h
@@ -100,12 +100,12 @@
 				 capacity; 0: not blocked */
 	jj_batch_item_t *items;
 	jj_item_result_t *results;
-	bool *started;
+	bool *started; /**< by item: recorded as started */
 } jj_held_chunk_t;
 
 typedef TAILQ_HEAD(jj_held_chunk_list, jj_held_chunk) jj_held_chunks_t;
 
-/** Creates the state of a chosen chunk; the first phase depends on the record. */
+/** Creates the state of a chosen chunk, in its first phase. */
 jj_held_chunk_t *
 jj_held_chunk_create(jj_batch_t *batch, const jj_chunk_choice_t *choice);
 void jj_held_chunk_destroy(jj_held_chunk_t *chunk);
--- a/src/core/batch_jobs.c
+++ b/src/core/batch_jobs.c
@@ -521,9 +521,9 @@
 }
 
 /*
- * Chooses claims that have lapsed and, one per PROBE_MIN_MS, claims whose record
- * was never read or has changed: only the record names its holder, which may
- * have failed or released it. Most changes are renewals, and each idle VM
+ * Chooses claims that have lapsed and, one per PROBE_MIN_MS, claims whose
+ * record was never read or has changed: only the record names its holder, which
+ * may have failed or released it. Most changes are renewals, and each idle VM
  * gets the events of all of them, so reads become rarer while they find
  * nothing to take over.
  */
--- a/src/core/batch_jobs.h
+++ b/src/core/batch_jobs.h
@@ -14,7 +14,7 @@
 #include "core/batch.h"
 #include "core/batch_record.h"
 
-/** Maximum of known jobs; others are found by a listing when some have ended. */
+/** Maximum of known jobs; others are found later, when some have ended. */
 #define JJ_KNOWN_JOBS_MAX 4096
 /** Ended jobs that are remembered, so that their events cause no read. */
 #define JJ_ENDED_JOBS 16384
--- a/src/core/batch_record.h
+++ b/src/core/batch_record.h
@@ -47,7 +47,7 @@
 	char holder[JJ_WRITER_TEXT];
 	char operation[JJ_OPERATION_TEXT];
 	uint64_t fence;
-	uint64_t renewals; /**< renewals by this holder so far */
+	uint64_t renewals; /**< by this holder so far */
 	jj_ms_t lease_ms;
 	jj_chunk_state_t state;
 	jj_result_counts_t counts; /**< only in a done record */
@@ -67,7 +67,7 @@
 /**
  * Encodes the result of an item without an accepted answer.
  * @param code the error's code; "cancelled" makes it JJ_RESULT_CANCELLED.
- * @param run "not_run_count", "run" or "unknown".
+ * @param run "not_run", "run" or "unknown".
  */
 jj_item_result_t jj_result_error(const char *custom_id, const char *code,
     const char *message, const char *run);
