--- a/src/core/batch_room.c
+++ b/src/core/batch_capacity.c
@@ -1,10 +1,10 @@
 /**
- * @file batch_room.c
+ * @file batch_capacity.c
  * @brief How many items of each service the batch worker may run.
  */
 #include <string.h>
 
-#include "core/batch_room.h"
+#include "core/batch_capacity.h"
 
 uint32_t
 jj_batch_capacity_index(jj_batch_capacity_t *capacity, const char *service)
--- a/src/core/batch_room.h
+++ b/src/core/batch_capacity.h
@@ -1,5 +1,5 @@
 /**
- * @file batch_room.h
+ * @file batch_capacity.h
  * @brief How many items of each service the batch worker may run.
  *
  * A VM has a batch share only of the backend servers that it is the steward
@@ -7,8 +7,8 @@
  * this VM has no share must not use the capacity of others, nor wait here
  * forever.
  */
-#ifndef JJ_CORE_BATCH_ROOM_H
-#define JJ_CORE_BATCH_ROOM_H
+#ifndef JJ_CORE_BATCH_CAPACITY_H
+#define JJ_CORE_BATCH_CAPACITY_H
 
 #include "core/types.h"
 
--- a/src/core/batch_worker.h
+++ b/src/core/batch_worker.h
@@ -8,7 +8,7 @@
 #include "core/batch.h"
 #include "core/batch_chunk.h"
 #include "core/batch_jobs.h"
-#include "core/batch_room.h"
+#include "core/batch_capacity.h"
 #include "core/operation.h"
 
 struct jj_batch {
