--- a/src/core/calls.c
+++ b/src/core/calls.c
@@ -1,6 +1,6 @@
 /**
  * @file calls.c
- * @brief Non-idempotent calls on their way from the entry VM to their home.
+ * @brief Forwards non-idempotent calls from the entry VM to their home.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -9,34 +9,35 @@
 #include "core/calls.h"
 
 /**
- * Resends wait resend_ms, then twice, then four times as long. A call may be
- * a megabyte: sent at a steady pace to a home that is slow to answer, its
- * copies fill the link, the heartbeats behind them come late, and both VMs
- * take each other for silent.
+ * The time between resends grows from resend_ms to four times that. A call may
+ * be a megabyte: resent at a steady rate to a home that is slow to answer, its
+ * copies fill the link, the heartbeats behind them arrive late, and both VMs
+ * suspect each other.
  */
 #define RESEND_DOUBLINGS 2
 /**
- * Between looks at a slot of this VM that settles, ms: a witness is told all
- * within a few round trips of a millisecond; a caller does not notice 20.
+ * Time between checks whether a slot of this VM is still being synced, ms: the
+ * witness has all records after a few round trips of a millisecond; a caller
+ * does not notice 20.
  */
-#define SETTLE_LOOK_MS 20
+#define SYNC_POLL_MS 20
 
-/** One call that waits for its home's word. */
+/** A call that waits for the answer of its home. */
 typedef struct waiting {
 	TAILQ_ENTRY(waiting) link;
-	uint64_t number; /**< of this call in messages */
-	uint64_t operation; /**< of the caller; 0 when relayed */
-	jj_name_t asker; /**< VM it is relayed for, or empty */
-	uint64_t asker_call;
+	uint64_t number; /**< number of this call in messages */
+	uint64_t operation; /**< operation of the caller; 0 when relayed */
+	jj_name_t requester; /**< VM that it is relayed for, or empty */
+	uint64_t requester_call;
 	jj_name_t domain; /**< of the key */
-	jj_name_t sent_to; /**< empty: never left this VM */
+	jj_name_t sent_to; /**< empty: not sent to another VM */
 	jj_incarnation_t sent_to_incarnation;
-	bool strayed; /**< another process was sent it before that one */
+	bool was_rerouted; /**< it was sent to another process earlier */
 	jj_call_t call; /**< owned copy */
 	jj_ms_t deadline_ms;
 	jj_ms_t resend_ms;
-	uint32_t sent; /**< times to the present target */
-	jj_name_t held_for; /**< a suspect it waits for, or empty */
+	uint32_t send_count; /**< how often it was sent to sent_to */
+	jj_name_t deferred_for; /**< suspected home waited for */
 } waiting_t;
 
 struct jj_calls {
@@ -50,23 +51,24 @@
 static void copy_call(jj_call_t *, const jj_call_t *);
 static void relay(jj_calls_t *, const jj_message_t *, const jj_name_t *,
     jj_ms_t, jj_actions_t *);
-static void relay_abroad(jj_calls_t *, const jj_message_t *,
+static void relay_to_remote_domain(jj_calls_t *, const jj_message_t *,
     const jj_member_info_t *, const jj_name_t *, jj_ms_t, jj_actions_t *);
 static bool
-choose_abroad(const jj_calls_t *, const waiting_t *, jj_ms_t, jj_name_t *);
+choose_remote_vm(const jj_calls_t *, const waiting_t *, jj_ms_t, jj_name_t *);
 static waiting_t *
 add_waiting(jj_calls_t *, const jj_call_t *, const jj_name_t *, jj_ms_t);
 static void forward(jj_calls_t *, waiting_t *, jj_ms_t, jj_actions_t *);
 static bool
 choose_next_vm(const jj_calls_t *, const waiting_t *, jj_ms_t, jj_name_t *);
-static bool is_home_doubted(
+static bool is_home_suspected(
     const jj_calls_t *, const waiting_t *, const jj_name_t *, jj_ms_t);
-static bool is_doubted(const jj_calls_t *, const jj_name_t *, jj_ms_t, jj_ms_t);
+static bool
+is_suspected(const jj_calls_t *, const jj_name_t *, jj_ms_t, jj_ms_t);
 static bool is_home(const jj_calls_t *, const jj_name_t *, const jj_hash_t *);
 static void begin_here(jj_calls_t *, waiting_t *, jj_ms_t, jj_actions_t *);
 static void
-ask_earlier_home(jj_calls_t *, waiting_t *, jj_ms_t, jj_actions_t *);
-static jj_ms_t resend_wait(const jj_calls_t *, const waiting_t *);
+query_earlier_home(jj_calls_t *, waiting_t *, jj_ms_t, jj_actions_t *);
+static jj_ms_t resend_delay(const jj_calls_t *, const waiting_t *);
 static void send_call(waiting_t *, jj_ms_t, jj_actions_t *);
 static void end_waiting(
     jj_calls_t *, waiting_t *, const jj_call_answer_t *, jj_actions_t *);
@@ -74,8 +76,8 @@
 static void refuse(jj_calls_t *, waiting_t *, jj_ms_t, jj_actions_t *);
 static void
 take_answer(jj_calls_t *, waiting_t *, const jj_message_t *, jj_actions_t *);
-static bool target_is_gone(const jj_calls_t *, const waiting_t *, jj_ms_t);
-static bool target_is_heard_again(const jj_calls_t *, const waiting_t *);
+static bool is_target_lost(const jj_calls_t *, const waiting_t *, jj_ms_t);
+static bool is_deferred_target_live(const jj_calls_t *, const waiting_t *);
 static waiting_t *find_relayed(jj_calls_t *, const jj_name_t *, uint64_t);
 
 jj_calls_t *
@@ -143,7 +145,7 @@
 	if (!jj_calls_domain(service, call->key_text, &domain))
 		domain = calls->settings.domain;
 	if (is_home(calls, &domain, &call->key) &&
-	    !jj_ledger_is_settling(calls->ledger, &call->key, now)) {
+	    !jj_ledger_is_syncing(calls->ledger, &call->key, now)) {
 		jj_ledger_begin(calls->ledger, operation, NULL, call, now, out);
 		return;
 	}
@@ -159,27 +161,28 @@
 	const jj_call_t *call = &message->body.call;
 	const jj_member_info_t *from;
 	jj_name_t domain;
-	bool begins;
+	bool starts_here;
 
 	if (service == NULL ||
 	    !jj_calls_domain(service, call->key_text, &domain))
 		return;
 	from = jj_member_find(calls->member, &message->from);
 	if (!jj_name_equal(&domain, &calls->settings.domain)) {
-		relay_abroad(calls, message, from, &domain, now, out);
+		relay_to_remote_domain(calls, message, from, &domain, now, out);
 		return;
 	}
 	/*
-	 * Within the domain a call makes one hop only: two VMs with tables of
-	 * different age must not pass it to and fro. The ledger answers for a
-	 * slot that is not its own.
+	 * Within the domain a call is forwarded once only: two VMs with slot
+	 * tables of different age must not pass it back and forth. The ledger
+	 * refuses a call of a slot that is not its own.
 	 */
 	if (is_home(calls, &domain, &call->key))
-		begins = !jj_ledger_is_settling(calls->ledger, &call->key, now);
+		starts_here =
+		    !jj_ledger_is_syncing(calls->ledger, &call->key, now);
 	else
-		begins = from != NULL &&
+		starts_here = from != NULL &&
 		    jj_name_equal(&from->domain, &calls->settings.domain);
-	if (begins)
+	if (starts_here)
 		jj_ledger_begin(
 		    calls->ledger, call->call, &message->from, call, now, out);
 	else
@@ -212,10 +215,10 @@
 	     waiting = next) {
 		next = TAILQ_NEXT(waiting, link);
 		if (now >= waiting->deadline_ms ||
-		    target_is_gone(calls, waiting, now))
+		    is_target_lost(calls, waiting, now))
 			refuse(calls, waiting, now, out);
 		else if (now >= waiting->resend_ms ||
-		    target_is_heard_again(calls, waiting))
+		    is_deferred_target_live(calls, waiting))
 			forward(calls, waiting, now, out);
 	}
 }
@@ -257,22 +260,22 @@
 	const jj_call_t *call = &message->body.call;
 	waiting_t *waiting;
 
-	/* A repeat of a call that is on its way already. */
+	/* A repeat of a call that is being relayed already. */
 	if (find_relayed(calls, &message->from, call->call) != NULL)
 		return;
 	waiting = add_waiting(calls, call, domain, now);
-	waiting->asker = message->from;
-	waiting->asker_call = call->call;
+	waiting->requester = message->from;
+	waiting->requester_call = call->call;
 	forward(calls, waiting, now, out);
 }
 
 /**
- * The speaker passes calls of its own domain's VMs on to other domains, of
- * which they know nobody. Nothing else is passed abroad, so that a call
- * cannot travel in a circle.
+ * The speaker relays calls of its domain's VMs to other domains, as those VMs
+ * know no VM there. Nothing else is relayed to a remote domain, so a call
+ * cannot travel in a loop.
  */
 static void
-relay_abroad(jj_calls_t *calls, const jj_message_t *message,
+relay_to_remote_domain(jj_calls_t *calls, const jj_message_t *message,
     const jj_member_info_t *from, const jj_name_t *domain, jj_ms_t now,
     jj_actions_t *out)
 {
@@ -311,33 +314,34 @@
 		return;
 	}
 	if (!jj_member_is_live(calls->member, &target)) {
-		waiting->held_for = target;
+		waiting->deferred_for = target;
 		waiting->resend_ms = now + calls->settings.resend_ms;
 		return;
 	}
-	waiting->held_for = (jj_name_t){""};
+	waiting->deferred_for = (jj_name_t){""};
 	info = jj_member_find(calls->member, &target);
 	if (!jj_name_equal(&waiting->sent_to, &target) || info == NULL ||
 	    info->incarnation != waiting->sent_to_incarnation) {
-		waiting->strayed = !jj_name_is_empty(&waiting->sent_to);
-		waiting->sent = 0;
+		waiting->was_rerouted = !jj_name_is_empty(&waiting->sent_to);
+		waiting->send_count = 0;
 	}
 	waiting->sent_to = target;
 	waiting->sent_to_incarnation = info != NULL ? info->incarnation : 0;
-	waiting->resend_ms = now + resend_wait(calls, waiting);
+	waiting->resend_ms = now + resend_delay(calls, waiting);
 	send_call(waiting, now, out);
 }
 
 static jj_ms_t
-resend_wait(const jj_calls_t *calls, const waiting_t *waiting)
+resend_delay(const jj_calls_t *calls, const waiting_t *waiting)
 {
-	uint32_t doublings =
-	    waiting->sent < RESEND_DOUBLINGS ? waiting->sent : RESEND_DOUBLINGS;
+	uint32_t doublings = waiting->send_count < RESEND_DOUBLINGS
+	    ? waiting->send_count
+	    : RESEND_DOUBLINGS;
 
 	return calls->settings.resend_ms << doublings;
 }
 
-/** True when this VM is the home of a key of that domain, as known here. */
+/** True when this VM is the home of a key of that domain, by its slot table. */
 static bool
 is_home(const jj_calls_t *calls, const jj_name_t *domain, const jj_hash_t *key)
 {
@@ -348,46 +352,47 @@
 	    jj_name_equal(&home, &calls->settings.name);
 }
 
-/** What was never sent begins at this VM, once its slot has settled. */
+/** Begins a call that was never sent at this VM, once its slot is synced. */
 static void
 begin_here(
     jj_calls_t *calls, waiting_t *waiting, jj_ms_t now, jj_actions_t *out)
 {
 	if (!jj_name_is_empty(&waiting->sent_to)) {
-		ask_earlier_home(calls, waiting, now, out);
+		query_earlier_home(calls, waiting, now, out);
 		return;
 	}
-	if (jj_ledger_is_settling(calls->ledger, &waiting->call.key, now)) {
-		waiting->resend_ms = now + SETTLE_LOOK_MS;
+	if (jj_ledger_is_syncing(calls->ledger, &waiting->call.key, now)) {
+		waiting->resend_ms = now + SYNC_POLL_MS;
 		return;
 	}
 	waiting->call.budget_ms = waiting->deadline_ms - now;
 	jj_ledger_begin(calls->ledger, waiting->operation,
-	    jj_name_is_empty(&waiting->asker) ? NULL : &waiting->asker,
+	    jj_name_is_empty(&waiting->requester) ? NULL : &waiting->requester,
 	    &waiting->call, now, out);
 	free_waiting(calls, waiting);
 }
 
 /**
- * What was sent may be running at its earlier home, and this VM gets its word
- * as the successor. But the call may have been lost on its way: then nobody
- * says anything until the earlier home is asked once more.
+ * A call that was sent may be running at its earlier home, which sends its
+ * outcome to this VM as the new home. But if the call itself was lost on its
+ * way, nobody answers until it is resent to the earlier home.
  */
 static void
-ask_earlier_home(
+query_earlier_home(
     jj_calls_t *calls, waiting_t *waiting, jj_ms_t now, jj_actions_t *out)
 {
 	jj_call_answer_t answer;
 
-	if (jj_ledger_recall(calls->ledger, &waiting->call, now, &answer)) {
+	if (jj_ledger_find_answer(
+		calls->ledger, &waiting->call, now, &answer)) {
 		end_waiting(calls, waiting, &answer, out);
 		return;
 	}
-	waiting->resend_ms = now + resend_wait(calls, waiting);
+	waiting->resend_ms = now + resend_delay(calls, waiting);
 	send_call(waiting, now, out);
 }
 
-/** The home in the own domain, any live VM in another one. */
+/** The home in the local domain, or any live VM in a remote one. */
 static bool
 choose_next_vm(const jj_calls_t *calls, const waiting_t *waiting, jj_ms_t now,
     jj_name_t *target)
@@ -397,25 +402,25 @@
 			   calls->ledger, &waiting->call.key, target) &&
 		    !jj_name_equal(target, &calls->settings.name) &&
 		    (jj_member_is_live(calls->member, target) ||
-			is_home_doubted(calls, waiting, target, now));
-	return choose_abroad(calls, waiting, now, target);
+			is_home_suspected(calls, waiting, target, now));
+	return choose_remote_vm(calls, waiting, now, target);
 }
 
 /**
- * A home that a new table names was alive when the table was written, though
- * no message of it came: it has lost_ms from there on to be heard.
+ * A home named by a new table was alive when the table was written, even if no
+ * message of it has arrived: it gets lost_ms from then on to send a heartbeat.
  */
 static bool
-is_home_doubted(const jj_calls_t *calls, const waiting_t *waiting,
+is_home_suspected(const jj_calls_t *calls, const waiting_t *waiting,
     const jj_name_t *home, jj_ms_t now)
 {
-	return is_doubted(calls, home,
-	    jj_ledger_home_since(calls->ledger, &waiting->call.key), now);
+	return is_suspected(calls, home,
+	    jj_ledger_epoch_adopted_ms(calls->ledger, &waiting->call.key), now);
 }
 
-/** Suspected, but not lost: it may live. */
+/** Suspected but not lost: the VM may be alive. */
 static bool
-is_doubted(
+is_suspected(
     const jj_calls_t *calls, const jj_name_t *name, jj_ms_t since, jj_ms_t now)
 {
 	const jj_member_info_t *info = jj_member_find(calls->member, name);
@@ -424,16 +429,16 @@
 	    !jj_member_is_lost(calls->member, name, since, now);
 }
 
-/** A VM of the key's domain, else our speaker, which knows one. */
+/** A VM of the key's domain, else the local speaker, which knows one. */
 static bool
-choose_abroad(const jj_calls_t *calls, const waiting_t *waiting, jj_ms_t now,
+choose_remote_vm(const jj_calls_t *calls, const waiting_t *waiting, jj_ms_t now,
     jj_name_t *target)
 {
 	jj_member_info_t first;
 
 	if (!jj_name_is_empty(&waiting->sent_to) &&
 	    (jj_member_is_live(calls->member, &waiting->sent_to) ||
-		is_doubted(calls, &waiting->sent_to, 0, now))) {
+		is_suspected(calls, &waiting->sent_to, 0, now))) {
 		*target = waiting->sent_to;
 		return true;
 	}
@@ -457,21 +462,22 @@
 	copy_call(&message->body.call, &waiting->call);
 	message->body.call.call = waiting->number;
 	message->body.call.budget_ms = waiting->deadline_ms - now;
-	waiting->sent++;
+	waiting->send_count++;
 }
 
 /**
- * Ends a call that got no word from its home. Once it was sent to another
- * VM it may have run there: only "unknown" is true then, unless this VM knows
- * the run's end itself. The caller may resend under the same key; the home
- * knows what became of it.
+ * Ends a call without an answer of its home. Once it was sent to another VM it
+ * may have run there: the outcome is UNKNOWN then, unless this VM has the
+ * answer itself. The caller may resend it under the same key; the home knows
+ * its outcome.
  */
 static void
 refuse(jj_calls_t *calls, waiting_t *waiting, jj_ms_t now, jj_actions_t *out)
 {
 	jj_call_answer_t answer = {0};
 
-	if (jj_ledger_recall(calls->ledger, &waiting->call, now, &answer)) {
+	if (jj_ledger_find_answer(
+		calls->ledger, &waiting->call, now, &answer)) {
 		end_waiting(calls, waiting, &answer, out);
 		return;
 	}
@@ -483,11 +489,11 @@
 }
 
 /**
- * Takes the word of the process that the call was last sent to, and of no
- * other: a late refusal of an earlier home, or of a dead process with the
- * same name, does not speak for it. When the slot moved while the call was
- * under way, its new home cannot say that the call was not run: the earlier
- * one may be running it.
+ * Accepts the answer only of the process that the call was last sent to: a late
+ * refusal of an earlier home, or of an ended process with the same name, says
+ * nothing about that one. When the slot moved while the call was being
+ * forwarded, its new home cannot know that the call was not run: the earlier
+ * home may be running it.
  */
 static void
 take_answer(jj_calls_t *calls, waiting_t *waiting, const jj_message_t *message,
@@ -498,19 +504,19 @@
 	if (!jj_name_equal(&message->from, &waiting->sent_to) ||
 	    message->incarnation != waiting->sent_to_incarnation)
 		return;
-	if (waiting->strayed && answer.outcome != JJ_CALL_DONE &&
+	if (waiting->was_rerouted && answer.outcome != JJ_CALL_DONE &&
 	    answer.outcome != JJ_CALL_REPLAYED)
 		answer.outcome = JJ_CALL_UNKNOWN;
 	end_waiting(calls, waiting, &answer, out);
 }
 
 /**
- * True when the process that had the call is lost or was replaced. A suspect
- * is neither: its caller would be told "unknown" of a call that it runs and
- * answers a moment later, and never get that answer.
+ * True when the process that the call was sent to is lost or was replaced. A
+ * suspected one is neither: its caller would get "unknown" for a call that the
+ * process runs and answers a moment later, and never get that answer.
  */
 static bool
-target_is_gone(const jj_calls_t *calls, const waiting_t *waiting, jj_ms_t now)
+is_target_lost(const jj_calls_t *calls, const waiting_t *waiting, jj_ms_t now)
 {
 	const jj_member_info_t *info;
 
@@ -523,10 +529,10 @@
 }
 
 static bool
-target_is_heard_again(const jj_calls_t *calls, const waiting_t *waiting)
+is_deferred_target_live(const jj_calls_t *calls, const waiting_t *waiting)
 {
-	return !jj_name_is_empty(&waiting->held_for) &&
-	    jj_member_is_live(calls->member, &waiting->held_for);
+	return !jj_name_is_empty(&waiting->deferred_for) &&
+	    jj_member_is_live(calls->member, &waiting->deferred_for);
 }
 
 static void
@@ -536,7 +542,7 @@
 	jj_message_t *message;
 	jj_action_t *action;
 
-	if (jj_name_is_empty(&waiting->asker)) {
+	if (jj_name_is_empty(&waiting->requester)) {
 		action = jj_actions_add(out, JJ_ACTION_CALL_ANSWER);
 		action->body.call.call = waiting->operation;
 		action->body.call.answer = *answer;
@@ -544,9 +550,9 @@
 		    jj_bytes_copy(answer->body.data, answer->body.size);
 	} else {
 		message = jj_actions_add_message(
-		    out, &waiting->asker, JJ_MESSAGE_CALL_ANSWER);
+		    out, &waiting->requester, JJ_MESSAGE_CALL_ANSWER);
 		message->body.call_answer = *answer;
-		message->body.call_answer.call = waiting->asker_call;
+		message->body.call_answer.call = waiting->requester_call;
 		message->body.call_answer.body =
 		    jj_bytes_copy(answer->body.data, answer->body.size);
 	}
@@ -563,14 +569,14 @@
 }
 
 static waiting_t *
-find_relayed(jj_calls_t *calls, const jj_name_t *asker, uint64_t number)
+find_relayed(jj_calls_t *calls, const jj_name_t *requester, uint64_t number)
 {
 	waiting_t *waiting;
 
 	TAILQ_FOREACH(waiting, &calls->waiting, link)
 	{
-		if (waiting->asker_call == number &&
-		    jj_name_equal(&waiting->asker, asker))
+		if (waiting->requester_call == number &&
+		    jj_name_equal(&waiting->requester, requester))
 			return waiting;
 	}
 	return NULL;
--- a/src/core/core.c
+++ b/src/core/core.c
@@ -1,9 +1,9 @@
 /**
  * @file core.c
- * @brief Puts the modules of a VM's control together.
+ * @brief Connects the modules of a VM's control.
  *
- * Each event goes to the module it concerns; what modules tell each other
- * goes through here, so that no module knows another's inside.
+ * Each event goes to the module that it concerns. What modules report to each
+ * other passes through here, so that no module depends on another's internals.
  */
 #include <inttypes.h>
 #include <stdio.h>
@@ -16,34 +16,37 @@
 #include "core/core_status.h"
 #include "core/struck.h"
 
-/** Watches of the speaker, by token of their platform calls. */
+/** Tokens of platform calls: watches of the speaker, and the VM list. */
 #define TOKEN_WATCH_CONFIG UINT64_C(0xC0)
 #define TOKEN_WATCH_JOBS UINT64_C(0xC1)
 #define TOKEN_VMS UINT64_C(0xC2)
-/** How long the platform may hold a watch, ms. */
+/** How long the platform may wait before it answers a watch, ms. */
 #define WATCH_WAIT_MS 20000
-/** Least time between polls of `jobs/`: a busy prefix costs 2 calls/s. */
+/** Minimum time between polls of `jobs/`, ms: a busy prefix costs 2 calls/s. */
 #define WATCH_JOBS_SPACING_MS 500
-/** Least time between polls of `config/`; well below the 3 s allowed. */
+/**
+ * Minimum time between polls of `config/`, ms; well below the 3 s in which a
+ * patch must be in force.
+ */
 #define WATCH_CONFIG_SPACING_MS 100
 /** Wait after a failed poll, ms. */
 #define WATCH_BACKOFF_MS 1000
-/** Refresh of the configuration while none is known, ms. */
+/** Time between reads of the configuration while none is known, ms. */
 #define CONFIG_REFRESH_MS 1000
-/** Modules are ticked at least this often, ms. */
-#define TICK_MOST_MS 100
-/** While items wait for room, it is looked for this often, ms. */
+/** Maximum time between ticks of the modules, ms. */
+#define TICK_INTERVAL_MAX_MS 100
+/** Time between ticks while withheld items wait for free capacity, ms. */
 #define WITHHELD_TICK_MS 10
-/** Items of a service that wait next to the decision, beyond the room. */
-#define WITHHELD_MOST 4
-/** A request like one that crashed a server rests so long, ms. */
-#define SUSPECT_REST_MS 300
+/** Items of a service that may wait here in excess of the free capacity. */
+#define WITHHELD_EXTRA_MAX 4
+/** How long a request like one that crashed a server is deferred, ms. */
+#define SUSPECT_DELAY_MS 300
 
 static jj_ms_t next_suspect(const jj_core_t *);
 static void create_modules(jj_core_t *);
 static const jj_member_info_t *find_member(void *, const jj_name_t *);
 static size_t list_members(void *, jj_member_info_t *, size_t);
-static void note_pause(jj_core_t *, jj_ms_t, jj_actions_t *);
+static void detect_pause(jj_core_t *, jj_ms_t, jj_actions_t *);
 static void take_tick(jj_core_t *, jj_ms_t, jj_actions_t *);
 static void
 take_message(jj_core_t *, const jj_message_t *, jj_ms_t, jj_actions_t *);
@@ -57,10 +60,10 @@
 static void
 take_patch(jj_core_t *, const jj_event_t *, jj_ms_t, jj_actions_t *);
 static void leave(jj_core_t *, jj_ms_t, jj_actions_t *);
-static void settle(jj_core_t *, jj_ms_t, jj_actions_t *);
-static void wish_models(jj_core_t *, jj_ms_t);
+static void forward_outcomes(jj_core_t *, jj_ms_t, jj_actions_t *);
+static void request_models(jj_core_t *, jj_ms_t);
 static void stamp_messages(jj_core_t *, jj_actions_t *);
-static jj_ms_t earlier(jj_ms_t, jj_ms_t);
+static jj_ms_t min_ms(jj_ms_t, jj_ms_t);
 
 jj_core_t *
 jj_core_create(const jj_core_settings_t *settings)
@@ -166,8 +169,8 @@
 		leave(core, now, out);
 		break;
 	}
-	jj_core_begin_waiting(core, now, out);
-	settle(core, now, out);
+	jj_core_start_waiting(core, now, out);
+	forward_outcomes(core, now, out);
 	stamp_messages(core, out);
 	core->out = NULL;
 }
@@ -175,20 +178,20 @@
 jj_ms_t
 jj_core_next(const jj_core_t *core)
 {
-	jj_ms_t next = core->last_tick + TICK_MOST_MS;
-
-	next = earlier(next, jj_member_next(core->member));
-	next = earlier(next, jj_dispatch_next(core->dispatch));
-	next = earlier(next, jj_ledger_next(core->ledger));
-	next = earlier(next, jj_calls_next(core->calls));
-	next = earlier(next, jj_lease_next(core->lease));
-	next = earlier(next, jj_config_next(core->config));
-	next = earlier(next, jj_orders_next(core->orders));
-	next = earlier(next, jj_watch_next(&core->config_watch));
-	next = earlier(next, jj_watch_next(&core->jobs_watch));
-	next = earlier(next, next_suspect(core));
+	jj_ms_t next = core->last_tick + TICK_INTERVAL_MAX_MS;
+
+	next = min_ms(next, jj_member_next(core->member));
+	next = min_ms(next, jj_dispatch_next(core->dispatch));
+	next = min_ms(next, jj_ledger_next(core->ledger));
+	next = min_ms(next, jj_calls_next(core->calls));
+	next = min_ms(next, jj_lease_next(core->lease));
+	next = min_ms(next, jj_config_next(core->config));
+	next = min_ms(next, jj_orders_next(core->orders));
+	next = min_ms(next, jj_watch_next(&core->config_watch));
+	next = min_ms(next, jj_watch_next(&core->jobs_watch));
+	next = min_ms(next, next_suspect(core));
 	if (jj_withheld_count(core->withheld) > 0)
-		next = earlier(next, core->last_tick + WITHHELD_TICK_MS);
+		next = min_ms(next, core->last_tick + WITHHELD_TICK_MS);
 	return next;
 }
 
@@ -229,32 +232,35 @@
 
 uint32_t
 jj_core_batch_shares(
-    const jj_core_t *core, jj_batch_share_t *shares, uint32_t most, jj_ms_t now)
+    const jj_core_t *core, jj_batch_share_t *shares, uint32_t max, jj_ms_t now)
 {
-	uint32_t count = jj_dispatch_shares(core->dispatch, shares, most, now);
+	uint32_t count = jj_dispatch_shares(core->dispatch, shares, max, now);
 	uint32_t i;
 
 	for (i = 0; i < count; i++)
-		shares[i].limit += WITHHELD_MOST;
+		shares[i].limit += WITHHELD_EXTRA_MAX;
 	return count;
 }
 
 void
 jj_core_write_writer(const jj_name_t *name, jj_incarnation_t incarnation,
-    char *text, size_t room)
+    char *text, size_t size)
 {
-	(void)snprintf(text, room, "%s/%016" PRIx64, name->text, incarnation);
+	(void)snprintf(text, size, "%s/%016" PRIx64, name->text, incarnation);
 }
 
-/** Suspects rest at least until this VM was told what crashes servers. */
+/**
+ * Suspect requests are deferred at least until this VM has received the crash
+ * history.
+ */
 static jj_ms_t
 next_suspect(const jj_core_t *core)
 {
 	jj_ms_t next = jj_suspects_next(core->suspects);
 
-	if (next < core->unheard_until_ms &&
-	    jj_core_is_unheard(core, core->last_tick))
-		return core->unheard_until_ms;
+	if (next < core->crash_history_due_ms &&
+	    jj_core_awaits_crash_history(core, core->last_tick))
+		return core->crash_history_due_ms;
 	return next;
 }
 
@@ -268,7 +274,10 @@
 	jj_calls_settings_t calls = {settings->name, settings->domain,
 	    settings->resend_ms, JJ_CALL_RETRY_AFTER_MS};
 
-	/* A lost VM's claims and its slots are taken over at the same time. */
+	/*
+	 * The batch claims and the slots of a lost VM are taken over at the
+	 * same time.
+	 */
 	member.lost_ms = settings->ledger.takeover_ms;
 	core->member = jj_member_create(&member);
 	core->fleet = jj_fleet_create(&settings->domain);
@@ -277,7 +286,7 @@
 	core->dispatch = jj_dispatch_create(&settings->dispatch, core->config,
 	    core->fleet, core->member, core->quarantine);
 	core->withheld = jj_withheld_create();
-	core->suspects = jj_suspects_create(SUSPECT_REST_MS);
+	core->suspects = jj_suspects_create(SUSPECT_DELAY_MS);
 	core->ledger = jj_ledger_create(&settings->ledger, &port);
 	core->calls = jj_calls_create(&calls, core->ledger, core->member);
 	core->lease = jj_lease_create(&settings->lease);
@@ -295,17 +304,16 @@
 }
 
 static size_t
-list_members(void *ctx, jj_member_info_t *infos, size_t most)
+list_members(void *ctx, jj_member_info_t *infos, size_t max)
 {
 	const jj_core_t *core = ctx;
 
-	return jj_member_list(
-	    core->member, &core->settings.domain, infos, most);
+	return jj_member_list(core->member, &core->settings.domain, infos, max);
 }
 
-/** Others have told their news to the living when this VM was not heard. */
+/** Other VMs have sent their updates only to VMs that were alive meanwhile. */
 static void
-note_pause(jj_core_t *core, jj_ms_t now, jj_actions_t *out)
+detect_pause(jj_core_t *core, jj_ms_t now, jj_actions_t *out)
 {
 	jj_ms_t silent_ms = core->settings.member.suspect_ms;
 
@@ -314,7 +322,7 @@
 		jj_actions_add_event(
 		    out, "paused", "gap_ms=%" PRId64, now - core->last_tick);
 	if (core->last_tick == 0 || now - core->last_tick >= silent_ms)
-		core->unheard_until_ms = now + silent_ms;
+		core->crash_history_due_ms = now + silent_ms;
 	core->last_tick = now;
 }
 
@@ -325,7 +333,7 @@
 	bool speaker;
 	uint32_t count;
 
-	note_pause(core, now, out);
+	detect_pause(core, now, out);
 	if (jj_member_next(core->member) <= now) {
 		count = jj_dispatch_loads(
 		    core->dispatch, loads, JJ_MESSAGE_LOADS_MAX);
@@ -340,13 +348,14 @@
 	jj_watch_set_active(&core->jobs_watch, speaker, now);
 	jj_watch_tick(&core->config_watch, now, out);
 	jj_watch_tick(&core->jobs_watch, now, out);
-	if (now >= core->next_vms && (speaker || !core->list_known)) {
-		core->next_vms = now + core->settings.vms_poll_ms;
+	if (now >= core->next_vms_poll_ms && (speaker || !core->list_known)) {
+		core->next_vms_poll_ms = now + core->settings.vms_poll_ms;
 		(void)jj_actions_add_platform(
 		    out, JJ_OWNER_MEMBER, JJ_PLATFORM_VMS, TOKEN_VMS);
 	}
-	if (jj_config_version(core->config) == 0 && now >= core->next_refresh) {
-		core->next_refresh = now + CONFIG_REFRESH_MS;
+	if (jj_config_version(core->config) == 0 &&
+	    now >= core->next_config_refresh_ms) {
+		core->next_config_refresh_ms = now + CONFIG_REFRESH_MS;
 		jj_config_refresh(core->config, now, out);
 	}
 	jj_config_tick(core->config, now, out);
@@ -354,7 +363,7 @@
 	jj_calls_tick(core->calls, now, out);
 	jj_lease_want(core->lease, speaker, now, out);
 	jj_lease_tick(core->lease, now, out);
-	wish_models(core, now);
+	request_models(core, now);
 	jj_orders_tick(core->orders, now, out);
 	jj_quarantine_tick(core->quarantine, now);
 	jj_dispatch_tick(core->dispatch, now, out);
@@ -388,7 +397,7 @@
 		jj_ledger_take_message(core->ledger, message, now, out);
 		break;
 	default:
-		jj_core_take_news(core, message, now, out);
+		jj_core_take_update(core, message, now, out);
 		break;
 	}
 }
@@ -419,22 +428,22 @@
 take_member_result(jj_core_t *core, const jj_platform_result_t *result,
     jj_ms_t now, jj_actions_t *out)
 {
-	jj_watch_news_t news;
+	jj_watch_news_t update;
 
 	if (result->token == TOKEN_VMS) {
 		jj_core_take_vms(core, result, now, out);
 		return;
 	}
 	if (result->token == TOKEN_WATCH_CONFIG) {
-		news = jj_watch_take_result(&core->config_watch, result, now);
-		if (news != JJ_WATCH_NOTHING)
+		update = jj_watch_take_result(&core->config_watch, result, now);
+		if (update != JJ_WATCH_NOTHING)
 			jj_config_refresh(core->config, now, out);
 		return;
 	}
-	news = jj_watch_take_result(&core->jobs_watch, result, now);
-	if (news == JJ_WATCH_LOST)
-		jj_core_tell_lost_job_events(core, result->version, out);
-	if (news == JJ_WATCH_EVENTS)
+	update = jj_watch_take_result(&core->jobs_watch, result, now);
+	if (update == JJ_WATCH_LOST)
+		jj_core_notify_job_events_lost(core, result->version, out);
+	if (update == JJ_WATCH_EVENTS)
 		jj_core_take_job_changes(core, result, out);
 }
 
@@ -476,17 +485,20 @@
 }
 
 /**
- * What modules said in this step may concern other modules: a refused run
- * goes back to the ledger, a new configuration to the neighbours.
+ * Passes actions of this event on to other modules: a refused run to the
+ * ledger, a new configuration to the neighbours.
  */
 static void
-settle(jj_core_t *core, jj_ms_t now, jj_actions_t *out)
+forward_outcomes(jj_core_t *core, jj_ms_t now, jj_actions_t *out)
 {
 	jj_action_t *action;
 	jj_action_t *next;
 
 	for (action = TAILQ_FIRST(out); action != NULL; action = next) {
-		/* The answer stays: what was kept for the run is freed by it. */
+		/*
+		 * The answer stays in the list: it frees what was stored for
+		 * the run.
+		 */
 		if (action->kind == JJ_ACTION_ANSWER &&
 		    (action->body.answer.request & JJ_REQUEST_INTERNAL))
 			jj_core_end_refused_call(
@@ -497,9 +509,12 @@
 	}
 }
 
-/** What the configuration wants the own domain's engines to have loaded. */
+/**
+ * Requests the models that the configuration wants the engines of the local
+ * domain to have loaded.
+ */
 static void
-wish_models(jj_core_t *core, jj_ms_t now)
+request_models(jj_core_t *core, jj_ms_t now)
 {
 	const jj_service_t *service;
 	const jj_server_t *servers;
@@ -536,7 +551,7 @@
 }
 
 static jj_ms_t
-earlier(jj_ms_t a, jj_ms_t b)
+min_ms(jj_ms_t a, jj_ms_t b)
 {
 	return a < b ? a : b;
 }
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -1,15 +1,17 @@
 /**
  * @file core.h
- * @brief The whole core of a VM's control: events and time in, actions out.
+ * @brief The complete core of a VM's control: takes events and time, returns
+ * actions.
  *
- * No thread, socket or clock inside. The daemon, a bench in the same process
- * or a program that speaks lines on standard input can drive it alike: call
- * jj_core_handle for each event, carry the actions out in order, call it
- * with JJ_EVENT_TICK at jj_core_next.
+ * It has no thread, socket or clock. The daemon, a benchmark in the same
+ * process or a program that reads events from standard input drive it in the
+ * same way: call jj_core_handle for each event, carry out the actions in order,
+ * and call it with JJ_EVENT_TICK at jj_core_next.
  *
- * Batch jobs have their own half (core/batch.h, core/job.h, core/intake.h),
- * driven by another thread, so that a megabyte of batch input never stands
- * before an online request. Its items come in here as requests like others.
+ * Batch jobs have a core of their own (core/batch.h, core/job.h,
+ * core/intake.h), driven by another thread, so that a megabyte of batch input
+ * never delays an online request. Batch items enter this core as requests like
+ * others.
  */
 #ifndef JJ_CORE_CORE_H
 #define JJ_CORE_CORE_H
@@ -24,7 +26,7 @@
 #include "core/orders.h"
 #include "core/quarantine.h"
 
-/** Bit that marks request numbers given by the core itself. */
+/** Flag in the request numbers that the core itself assigns. */
 #define JJ_REQUEST_INTERNAL (UINT64_C(1) << 63)
 
 typedef struct {
@@ -38,29 +40,31 @@
 	jj_ledger_settings_t ledger;
 	jj_dispatch_settings_t dispatch;
 	jj_orders_settings_t orders;
-	jj_ms_t vms_poll_ms; /**< between reads of the VM list */
-	jj_ms_t pause_ms; /**< a longer gap between ticks is a pause */
-	jj_ms_t resend_ms; /**< a forwarded call is sent again after */
+	jj_ms_t vms_poll_ms; /**< time between reads of the VM list */
+	/** gap between ticks from which on it counts as a pause */
+	jj_ms_t pause_ms;
+	jj_ms_t resend_ms; /**< time until a forwarded call is resent */
 } jj_core_settings_t;
 
 typedef enum {
 	JJ_EVENT_TICK,
 	JJ_EVENT_MESSAGE, /**< from another VM */
-	JJ_EVENT_PLATFORM, /**< a result of a call of this core */
+	JJ_EVENT_PLATFORM, /**< the result of a platform call of this core */
 	JJ_EVENT_REQUEST, /**< from a caller, or a batch item */
-	JJ_EVENT_BACKEND, /**< what happened at a backend server */
-	JJ_EVENT_GONE, /**< the caller of a request went away */
-	JJ_EVENT_CRASH, /**< a backend server's process died */
-	JJ_EVENT_SERVER, /**< a backend server's own sign of its state */
+	JJ_EVENT_BACKEND, /**< progress of a request at a backend server */
+	JJ_EVENT_GONE, /**< the caller of a request has disconnected */
+	JJ_EVENT_CRASH, /**< the process of a backend server crashed */
+	JJ_EVENT_SERVER, /**< a backend server reported its state */
 	JJ_EVENT_REPORT, /**< a backend server's load report */
 	JJ_EVENT_ORDERED, /**< the answer to an order */
 	JJ_EVENT_PATCH, /**< an operator's patch of the configuration */
-	JJ_EVENT_RELEASE, /**< an operator gives a ledger slot up */
-	JJ_EVENT_STATUS, /**< an operator asks for the state */
+	/** an operator declares a ledger slot's history lost */
+	JJ_EVENT_RELEASE,
+	JJ_EVENT_STATUS, /**< an operator requests the state */
 	JJ_EVENT_LEAVE, /**< planned stop */
 } jj_event_kind_t;
 
-/** One event; pointers belong to the caller and are only read. */
+/** One event; its pointers belong to the caller of jj_core_handle. */
 typedef struct {
 	jj_event_kind_t kind;
 	union {
@@ -75,14 +79,15 @@
 		} request;
 		struct {
 			jj_backend_event_t event;
-			int status; /**< of a whole answer */
-			jj_bytes_t body; /**< of a whole answer; only read */
+			int status; /**< of a complete answer */
+			jj_bytes_t body; /**< of a complete answer; only read */
 		} backend;
 		uint64_t request_gone;
 		struct {
 			jj_name_t server;
 			uint64_t boot;
-			jj_server_state_t state; /**< of JJ_EVENT_SERVER */
+			/** for JJ_EVENT_SERVER only */
+			jj_server_state_t state;
 		} server;
 		struct {
 			jj_name_t server;
@@ -107,7 +112,7 @@
 			uint64_t operation;
 			uint32_t slot;
 		} release;
-		uint64_t operation; /**< of a status */
+		uint64_t operation; /**< for JJ_EVENT_STATUS */
 	} body;
 } jj_event_t;
 
@@ -119,29 +124,30 @@
 void jj_core_learn_vm(jj_core_t *core, const jj_name_t *name,
     const jj_name_t *domain, const char *address);
 void jj_core_learn_server(jj_core_t *core, const jj_server_t *server);
-/** Takes one event; appends what is to be done. */
+/** Handles one event; appends the resulting actions. */
 void jj_core_handle(
     jj_core_t *core, const jj_event_t *event, jj_ms_t now, jj_actions_t *out);
 /** When the next tick is due. */
 jj_ms_t jj_core_next(const jj_core_t *core);
-/** True when nothing of ours is left to do before a planned stop. */
+/** True when no work is left that a planned stop must wait for. */
 bool jj_core_is_idle(const jj_core_t *core);
-/** Address of a VM for the adapter that sends; NULL when unknown. */
+/** Address of a VM, for the adapter that sends to it; NULL when unknown. */
 const char *jj_core_address(const jj_core_t *core, const jj_name_t *name);
 
-/* What adapters and tests may read. */
+/* Read access for adapters and tests. */
 const jj_config_t *jj_core_config(const jj_core_t *core);
 const jj_fleet_t *jj_core_fleet(const jj_core_t *core);
 const jj_member_t *jj_core_member(const jj_core_t *core);
 /**
- * How many batch items of each service this VM may have out at once; a few
- * more than there is room for, to wait next to the decision.
+ * Maximum batch items of each service that this VM may have handed out at once;
+ * a few more than servers have capacity for, so that the next ones are ready
+ * when capacity frees up.
  */
-uint32_t jj_core_batch_shares(const jj_core_t *core, jj_batch_share_t *shares,
-    uint32_t most, jj_ms_t now);
+uint32_t jj_core_batch_shares(
+    const jj_core_t *core, jj_batch_share_t *shares, uint32_t max, jj_ms_t now);
 
-/** Writes NAME/HEX16, as objects at the platform name a process. */
+/** Writes NAME/HEX16, which names a process in platform objects. */
 void jj_core_write_writer(const jj_name_t *name, jj_incarnation_t incarnation,
-    char *text, size_t room);
+    char *text, size_t size);
 
 #endif
--- a/src/core/core_news.c
+++ b/src/core/core_news.c
@@ -1,6 +1,6 @@
 /**
  * @file core_news.c
- * @brief What VMs tell each other: configuration, lists, jobs and deaths.
+ * @brief Updates between VMs: configuration, VM lists, job changes, crashes.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -10,39 +10,42 @@
 #include "core/core_state.h"
 #include "core/struck.h"
 
-/** Least time between asks for a configuration, ms. */
-#define CONFIG_ASK_MS 200
-/** An unchanged VM list is told to the domain again after, ms. */
-#define LIST_TELL_MS 60000
+/** Minimum time between requests for a configuration, ms. */
+#define CONFIG_REQUEST_SPACING_MS 200
+/** Time until an unchanged VM list is sent to the domain again, ms. */
+#define VM_LIST_RESEND_MS 60000
 
 static void
 take_heartbeat(jj_core_t *, const jj_message_t *, jj_ms_t, jj_actions_t *);
-static bool is_gone(const jj_core_t *, const jj_seen_t *, jj_ms_t);
-static bool is_leaving(const jj_core_t *, const jj_seen_t *);
-static void tell_lost(jj_core_t *, const jj_seen_t *, jj_ms_t, jj_actions_t *);
-static void note_seen(jj_core_t *, const jj_member_info_t *);
+static bool
+is_process_lost(const jj_core_t *, const jj_seen_process_t *, jj_ms_t);
+static bool is_leaving(const jj_core_t *, const jj_seen_process_t *);
+static void
+report_lost_vm(jj_core_t *, const jj_seen_process_t *, jj_ms_t, jj_actions_t *);
+static void remember_process(jj_core_t *, const jj_member_info_t *);
 static void send_config(jj_core_t *, const jj_name_t *, jj_actions_t *);
-static bool is_abroad(const jj_core_t *, const jj_name_t *);
-static void tell_domain(jj_core_t *, jj_message_kind_t, uint64_t,
+static bool is_in_remote_domain(const jj_core_t *, const jj_name_t *);
+static void send_to_domain(jj_core_t *, jj_message_kind_t, uint64_t,
     const jj_bytes_t *, jj_actions_t *);
 static void
 take_vm_list(jj_core_t *, const jj_bytes_t *, jj_ms_t, jj_actions_t *);
 static void
 learn_listed_vm(void *, const jj_name_t *, const jj_name_t *, const char *);
-static void tell_vm_list(
+static void send_vm_list(
     jj_core_t *, const jj_platform_result_t *, jj_ms_t, jj_actions_t *);
 static void take_job_events(const jj_bytes_t *, jj_actions_t *);
 static jj_bytes_t encode_job_events(const jj_platform_result_t *);
 static void add_job_change(jj_actions_t *, const char *, uint64_t);
-static void take_death(jj_core_t *, const jj_crash_t *, jj_ms_t);
+static void take_server_down(jj_core_t *, const jj_crash_t *, jj_ms_t);
 static void
-take_struck(jj_core_t *, const jj_message_t *, jj_ms_t, jj_actions_t *);
-static void pass_on(jj_core_t *, const jj_message_t *, jj_actions_t *);
+take_crash_history(jj_core_t *, const jj_message_t *, jj_ms_t, jj_actions_t *);
 static void
-tell_news(jj_core_t *, const jj_message_t *, bool, bool, jj_actions_t *);
+relay_between_domains(jj_core_t *, const jj_message_t *, jj_actions_t *);
+static void
+send_update(jj_core_t *, const jj_message_t *, bool, bool, jj_actions_t *);
 
 void
-jj_core_take_news(jj_core_t *core, const jj_message_t *message, jj_ms_t now,
+jj_core_take_update(jj_core_t *core, const jj_message_t *message, jj_ms_t now,
     jj_actions_t *out)
 {
 	switch (message->kind) {
@@ -55,9 +58,9 @@
 			send_config(core, &message->from, out);
 		break;
 	case JJ_MESSAGE_CONFIG:
-		core->config_source = is_abroad(core, &message->from)
-		    ? JJ_CONFIG_FROM_ABROAD
-		    : JJ_CONFIG_FROM_DOMAIN;
+		core->config_source = is_in_remote_domain(core, &message->from)
+		    ? JJ_CONFIG_FROM_REMOTE_DOMAIN
+		    : JJ_CONFIG_FROM_LOCAL_DOMAIN;
 		(void)jj_config_take(
 		    core->config, &message->body.config.document, out);
 		break;
@@ -68,15 +71,15 @@
 	case JJ_MESSAGE_CRASH:
 		jj_quarantine_take_crash(
 		    core->quarantine, &message->body.crash, now, out);
-		take_death(core, &message->body.crash, now);
-		pass_on(core, message, out);
+		take_server_down(core, &message->body.crash, now);
+		relay_between_domains(core, message, out);
 		break;
 	case JJ_MESSAGE_STRUCK:
-		take_struck(core, message, now, out);
+		take_crash_history(core, message, now, out);
 		break;
 	case JJ_MESSAGE_SERVER_STATE:
 		jj_fleet_take_notice(core->fleet, &message->body.server, now);
-		pass_on(core, message, out);
+		relay_between_domains(core, message, out);
 		break;
 	case JJ_MESSAGE_JOBS:
 		take_job_events(&message->body.jobs.events, out);
@@ -93,21 +96,22 @@
 jj_core_take_server_state(
     jj_core_t *core, const jj_event_t *event, jj_ms_t now, jj_actions_t *out)
 {
-	jj_message_t news = {.kind = JJ_MESSAGE_SERVER_STATE};
-	bool is_news = false;
+	jj_message_t update = {.kind = JJ_MESSAGE_SERVER_STATE};
+	bool is_new = false;
 
 	jj_fleet_note(core->fleet, &event->body.server.server,
 	    event->body.server.state, event->body.server.boot, now, out,
-	    &is_news);
+	    &is_new);
 	if (event->body.server.state == JJ_SERVER_UP)
 		jj_dispatch_note_alive(
 		    core->dispatch, &event->body.server.server, now, out);
-	if (!is_news)
+	if (!is_new)
 		return;
-	news.body.server.server = event->body.server.server;
-	news.body.server.boot = event->body.server.boot;
-	news.body.server.state = event->body.server.state;
-	tell_news(core, &news, true, jj_member_is_speaker(core->member), out);
+	update.body.server.server = event->body.server.server;
+	update.body.server.boot = event->body.server.boot;
+	update.body.server.state = event->body.server.state;
+	send_update(
+	    core, &update, true, jj_member_is_speaker(core->member), out);
 }
 
 void
@@ -117,7 +121,7 @@
 	if (result->outcome != JJ_PLATFORM_OK)
 		return;
 	take_vm_list(core, &result->value, now, out);
-	tell_vm_list(core, result, now, out);
+	send_vm_list(core, result, now, out);
 }
 
 void
@@ -130,29 +134,29 @@
 	for (i = 0; i < result->item_count; i++)
 		add_job_change(
 		    out, result->items[i].key, result->items[i].version);
-	tell_domain(core, JJ_MESSAGE_JOBS, result->version, &events, out);
+	send_to_domain(core, JJ_MESSAGE_JOBS, result->version, &events, out);
 	jj_bytes_free(&events);
 }
 
 void
-jj_core_tell_lost_job_events(
+jj_core_notify_job_events_lost(
     jj_core_t *core, uint64_t revision, jj_actions_t *out)
 {
 	jj_bytes_t events =
 	    jj_bytes_from_text("[{\"key\":\"\",\"version\":0}]");
 
 	add_job_change(out, "", 0);
-	tell_domain(core, JJ_MESSAGE_JOBS, revision, &events, out);
+	send_to_domain(core, JJ_MESSAGE_JOBS, revision, &events, out);
 	jj_bytes_free(&events);
 }
 
 void
 jj_core_spread_config(jj_core_t *core, jj_actions_t *out)
 {
-	size_t most = jj_member_count(core->member) + 1;
-	jj_member_info_t *infos = jj_alloc(most * sizeof(*infos));
-	size_t count = jj_member_list_all(core->member, infos, most);
-	bool from_domain = core->config_source == JJ_CONFIG_FROM_DOMAIN;
+	size_t max = jj_member_count(core->member) + 1;
+	jj_member_info_t *infos = jj_alloc(max * sizeof(*infos));
+	size_t count = jj_member_list_all(core->member, infos, max);
+	bool from_domain = core->config_source == JJ_CONFIG_FROM_LOCAL_DOMAIN;
 	size_t i;
 
 	if (from_domain && !jj_member_is_speaker(core->member))
@@ -178,30 +182,32 @@
 	size_t i;
 
 	for (i = 0; i < core->seen_count; i++) {
-		if (is_gone(core, &core->seen[i], now))
-			tell_lost(core, &core->seen[i], now, out);
+		if (is_process_lost(core, &core->seen[i], now))
+			report_lost_vm(core, &core->seen[i], now, out);
 		else if (!is_leaving(core, &core->seen[i]))
 			core->seen[kept++] = core->seen[i];
 	}
 	core->seen_count = kept;
 	/*
-	 * Of other domains only speakers are heard: a VM abroad that falls
-	 * silent is no sign of death, nor is a cut between domains.
+	 * Only the speakers of remote domains send heartbeats to this one:
+	 * missing heartbeats of a remote VM do not show that it failed, nor
+	 * does a network partition between domains.
 	 */
 	i = jj_member_list(
 	    core->member, &core->settings.domain, members, JJ_LEDGER_SLOTS);
 	while (i-- > 0)
-		note_seen(core, &members[i]);
+		remember_process(core, &members[i]);
 }
 
 /*
- * Guards against work that is done twice: a VM that was silent for some
- * hundred milliseconds lives, goes on with its items and renews its claims,
- * while its neighbour claims and runs the same ones. A process that was
- * replaced is gone for sure, a silent one only after lost_ms.
+ * Guards against work that is done twice: a VM without heartbeats for some
+ * hundred milliseconds is alive, resumes its items and renews its claims, while
+ * its neighbour claims and runs the same ones. A process that was replaced has
+ * certainly ended, an unreachable one counts as lost only after lost_ms.
  */
 static bool
-is_gone(const jj_core_t *core, const jj_seen_t *seen, jj_ms_t now)
+is_process_lost(
+    const jj_core_t *core, const jj_seen_process_t *seen, jj_ms_t now)
 {
 	const jj_member_info_t *info =
 	    jj_member_find(core->member, &seen->name);
@@ -210,17 +216,17 @@
 	    jj_member_is_lost(core->member, &seen->name, 0, now);
 }
 
-/** It hands over what it has itself. */
+/** A leaving VM hands over its own work. */
 static bool
-is_leaving(const jj_core_t *core, const jj_seen_t *seen)
+is_leaving(const jj_core_t *core, const jj_seen_process_t *seen)
 {
 	return jj_member_find(core->member, &seen->name)->state ==
 	    JJ_VM_LEAVING;
 }
 
 static void
-tell_lost(
-    jj_core_t *core, const jj_seen_t *seen, jj_ms_t now, jj_actions_t *out)
+report_lost_vm(jj_core_t *core, const jj_seen_process_t *seen, jj_ms_t now,
+    jj_actions_t *out)
 {
 	const jj_member_info_t *info =
 	    jj_member_find(core->member, &seen->name);
@@ -236,7 +242,7 @@
 }
 
 static void
-note_seen(jj_core_t *core, const jj_member_info_t *member)
+remember_process(jj_core_t *core, const jj_member_info_t *member)
 {
 	size_t i;
 
@@ -253,9 +259,9 @@
 }
 
 bool
-jj_core_is_unheard(const jj_core_t *core, jj_ms_t now)
+jj_core_awaits_crash_history(const jj_core_t *core, jj_ms_t now)
 {
-	return now < core->unheard_until_ms &&
+	return now < core->crash_history_due_ms &&
 	    jj_member_knows_other(core->member, &core->settings.domain);
 }
 
@@ -264,16 +270,16 @@
     jj_actions_t *out)
 {
 	const jj_heartbeat_t *heartbeat = &message->body.heartbeat;
-	jj_message_t *ask;
+	jj_message_t *request;
 
 	jj_dispatch_take_loads(core->dispatch, &message->from, heartbeat->loads,
 	    heartbeat->load_count, now);
 	if (heartbeat->config_version > jj_config_version(core->config) &&
-	    now >= core->next_ask) {
-		core->next_ask = now + CONFIG_ASK_MS;
-		ask = jj_actions_add_message(
+	    now >= core->next_config_request_ms) {
+		core->next_config_request_ms = now + CONFIG_REQUEST_SPACING_MS;
+		request = jj_actions_add_message(
 		    out, &message->from, JJ_MESSAGE_CONFIG_ASK);
-		ask->body.config.version = jj_config_version(core->config);
+		request->body.config.version = jj_config_version(core->config);
 	}
 	if (jj_name_equal(&heartbeat->domain, &core->settings.domain) &&
 	    heartbeat->slots_version > jj_ledger_version(core->ledger))
@@ -296,7 +302,7 @@
 }
 
 static bool
-is_abroad(const jj_core_t *core, const jj_name_t *name)
+is_in_remote_domain(const jj_core_t *core, const jj_name_t *name)
 {
 	const jj_member_info_t *info = jj_member_find(core->member, name);
 
@@ -305,7 +311,7 @@
 }
 
 static void
-tell_domain(jj_core_t *core, jj_message_kind_t kind, uint64_t revision,
+send_to_domain(jj_core_t *core, jj_message_kind_t kind, uint64_t revision,
     const jj_bytes_t *body, jj_actions_t *out)
 {
 	jj_member_info_t members[JJ_LEDGER_SLOTS];
@@ -342,19 +348,23 @@
 	jj_member_learn(core->member, name, domain, address);
 }
 
-/** The list is large and rarely changes: told when it did, or now and then. */
+/**
+ * Sends the list, which is large and rarely changes, when it has changed or
+ * VM_LIST_RESEND_MS has passed.
+ */
 static void
-tell_vm_list(jj_core_t *core, const jj_platform_result_t *result, jj_ms_t now,
+send_vm_list(jj_core_t *core, const jj_platform_result_t *result, jj_ms_t now,
     jj_actions_t *out)
 {
 	uint64_t hash =
 	    jj_hash_bytes(result->value.data, result->value.size, 0);
 
-	if (hash == core->list_hash && now < core->next_tell)
+	if (hash == core->list_hash && now < core->next_list_send_ms)
 		return;
 	core->list_hash = hash;
-	core->next_tell = now + LIST_TELL_MS;
-	tell_domain(core, JJ_MESSAGE_VMS, result->version, &result->value, out);
+	core->next_list_send_ms = now + VM_LIST_RESEND_MS;
+	send_to_domain(
+	    core, JJ_MESSAGE_VMS, result->version, &result->value, out);
 }
 
 static void
@@ -404,9 +414,12 @@
 	action->body.job_change.version = version;
 }
 
-/** A neighbour's word of a death: no new work there, unless seen up since. */
+/**
+ * A neighbour reported a crash: sends no new work there, unless the server was
+ * seen up since.
+ */
 static void
-take_death(jj_core_t *core, const jj_crash_t *crash, jj_ms_t now)
+take_server_down(jj_core_t *core, const jj_crash_t *crash, jj_ms_t now)
 {
 	jj_server_notice_t notice = {
 	    crash->server, crash->boot, JJ_SERVER_DOWN};
@@ -415,55 +428,56 @@
 }
 
 /**
- * Guards against a domain of which one VM alone has met one abroad: the
- * others would run what that one refuses. Only what is new here goes on, so
- * that it goes round once.
+ * Guards against a domain in which only one VM has received the crash history
+ * of a remote one: the others would run the requests that it refuses. Only what
+ * is new here is relayed, so that it circulates once.
  */
 static void
-take_struck(jj_core_t *core, const jj_message_t *message, jj_ms_t now,
+take_crash_history(jj_core_t *core, const jj_message_t *message, jj_ms_t now,
     jj_actions_t *out)
 {
-	bool abroad = is_abroad(core, &message->from);
+	bool remote = is_in_remote_domain(core, &message->from);
 
 	if (jj_struck_take(core->quarantine, message, now, out))
-		tell_news(core, message, abroad,
-		    !abroad && jj_member_is_speaker(core->member), out);
-	if (!abroad)
-		core->unheard_until_ms = now;
+		send_update(core, message, remote,
+		    !remote && jj_member_is_speaker(core->member), out);
+	if (!remote)
+		core->crash_history_due_ms = now;
 }
 
 /**
- * Speakers carry news of backend servers between domains: out of their own to
- * the others, and from abroad to their own. So a request that kills servers
- * is known everywhere after its second victim, wherever it is resent, and a
- * server that leaves is spared by all.
+ * Speakers relay updates about backend servers between domains: from their own
+ * to the others, and from remote ones to their own. So a request that crashes
+ * servers is known everywhere after its second crash, wherever it is resent,
+ * and no VM sends work to a server that leaves.
  */
 static void
-pass_on(jj_core_t *core, const jj_message_t *message, jj_actions_t *out)
+relay_between_domains(
+    jj_core_t *core, const jj_message_t *message, jj_actions_t *out)
 {
 	if (!jj_member_is_speaker(core->member))
 		return;
-	if (is_abroad(core, &message->from))
-		tell_news(core, message, true, false, out);
+	if (is_in_remote_domain(core, &message->from))
+		send_update(core, message, true, false, out);
 	else
-		tell_news(core, message, false, true, out);
+		send_update(core, message, false, true, out);
 }
 
-/** Sends a crash, past crashes or a server's state to live VMs. */
+/** Sends a crash, a crash history or a server's state to live VMs. */
 static void
-tell_news(jj_core_t *core, const jj_message_t *message, bool domain,
-    bool abroad, jj_actions_t *out)
+send_update(jj_core_t *core, const jj_message_t *message, bool domain,
+    bool remote, jj_actions_t *out)
 {
-	size_t most = jj_member_count(core->member) + 1;
-	jj_member_info_t *infos = jj_alloc(most * sizeof(*infos));
-	size_t count = jj_member_list_all(core->member, infos, most);
+	size_t max = jj_member_count(core->member) + 1;
+	jj_member_info_t *infos = jj_alloc(max * sizeof(*infos));
+	size_t count = jj_member_list_all(core->member, infos, max);
 	jj_message_t *copy;
 	bool own;
 	size_t i;
 
 	for (i = 0; i < count; i++) {
 		own = jj_name_equal(&infos[i].domain, &core->settings.domain);
-		if (!infos[i].live || !(own ? domain : abroad) ||
+		if (!infos[i].live || !(own ? domain : remote) ||
 		    jj_name_equal(&infos[i].name, &core->settings.name))
 			continue;
 		copy =
--- a/src/core/core_requests.c
+++ b/src/core/core_requests.c
@@ -1,6 +1,6 @@
 /**
  * @file core_requests.c
- * @brief Requests and calls on their way through the composed core.
+ * @brief Handles requests and non-idempotent calls in the core.
  */
 #include <stdio.h>
 #include <string.h>
@@ -29,7 +29,7 @@
 	}
 	service = jj_config_service(core->config, request.service.text);
 	if (service == NULL) {
-		/* The newest configuration may have it. */
+		/* A newer configuration than ours may have it. */
 		refuse_request(out, event,
 		    jj_member_newest_config(core->member) >
 			    jj_config_version(core->config)
@@ -47,7 +47,7 @@
 	}
 	if (request.class_of == JJ_CLASS_BATCH && !core->leaving)
 		jj_withheld_add(core->withheld, &request, now);
-	else if (jj_core_is_unheard(core, now) ||
+	else if (jj_core_awaits_crash_history(core, now) ||
 	    jj_quarantine_check(core->quarantine, request.fingerprint, now) ==
 		JJ_QUARANTINE_SUSPECT)
 		jj_suspects_add(core->suspects, &request, now);
@@ -67,9 +67,9 @@
 }
 
 void
-jj_core_begin_waiting(jj_core_t *core, jj_ms_t now, jj_actions_t *out)
+jj_core_start_waiting(jj_core_t *core, jj_ms_t now, jj_actions_t *out)
 {
-	if (!jj_core_is_unheard(core, now))
+	if (!jj_core_awaits_crash_history(core, now))
 		jj_suspects_tick(core->suspects, core->dispatch, now, out);
 	jj_withheld_pump(core->withheld, core->dispatch, now, out);
 }
@@ -109,12 +109,12 @@
     jj_core_t *core, const jj_event_t *event, jj_ms_t now, jj_actions_t *out)
 {
 	const jj_backend_event_t *backend = &event->body.backend.event;
-	bool whole = backend->kind == JJ_BACKEND_DONE ||
+	bool is_complete = backend->kind == JJ_BACKEND_DONE ||
 	    backend->kind == JJ_BACKEND_REJECTED;
 	bool is_call = (backend->request & JJ_REQUEST_INTERNAL) != 0;
 
 	jj_dispatch_take_event(core->dispatch, backend, now, out);
-	if (whole && is_call)
+	if (is_complete && is_call)
 		end_call(core, backend->request, JJ_CALL_DONE,
 		    event->body.backend.status, &event->body.backend.body, 0,
 		    now, out);
@@ -172,8 +172,9 @@
 }
 
 /**
- * Refuses a caller's request before anything is known of it. With a key, an
- * earlier attempt may have run: only the key's home could say "not run".
+ * Refuses a caller's request before it is started. If it has an idempotency
+ * key, an earlier attempt may have run: only the key's home could answer "not
+ * run".
  */
 static void
 refuse_request(jj_actions_t *out, const jj_event_t *event, jj_give_up_t reason)
@@ -189,8 +190,8 @@
 }
 
 /**
- * A non-idempotent service without home domains: two domains could each run
- * the key, so it is refused. Nobody can ever have run it.
+ * Refuses a call of a non-idempotent service without home domains: two domains
+ * could each run the key. No VM can ever have run it.
  */
 static void
 refuse_unknown_key(jj_actions_t *out, uint64_t request)
--- a/src/core/core_state.h
+++ b/src/core/core_state.h
@@ -1,6 +1,6 @@
 /**
  * @file core_state.h
- * @brief The composed core's state, shared by the core*.c files only.
+ * @brief State of the core, shared by the core*.c files only.
  */
 #ifndef JJ_CORE_CORE_STATE_H
 #define JJ_CORE_CORE_STATE_H
@@ -11,17 +11,17 @@
 #include "core/watch.h"
 #include "core/withheld.h"
 
-/** A process seen alive at the last tick. */
+/** A process of another VM that was alive at the last tick. */
 typedef struct {
 	jj_name_t name;
 	jj_incarnation_t incarnation;
-} jj_seen_t;
+} jj_seen_process_t;
 
-/** Where a configuration came from in the step under way. */
+/** Source of the configuration in the event being handled. */
 typedef enum {
-	JJ_CONFIG_FROM_PLATFORM, /**< or an operator's patch here */
-	JJ_CONFIG_FROM_DOMAIN, /**< a VM of the own domain */
-	JJ_CONFIG_FROM_ABROAD,
+	JJ_CONFIG_FROM_PLATFORM, /**< or an operator's patch to this VM */
+	JJ_CONFIG_FROM_LOCAL_DOMAIN, /**< a VM of the local domain */
+	JJ_CONFIG_FROM_REMOTE_DOMAIN,
 } jj_config_source_t;
 
 struct jj_core {
@@ -40,18 +40,18 @@
 	jj_watch_t config_watch;
 	jj_watch_t jobs_watch;
 	bool leaving;
-	bool list_known; /**< a VM list was taken once */
+	bool list_known; /**< a VM list was read at least once */
 	jj_ms_t last_tick;
-	uint64_t list_hash; /**< of the list told last */
-	jj_ms_t next_tell; /**< an unchanged list is told again then */
+	uint64_t list_hash; /**< hash of the VM list sent last */
+	jj_ms_t next_list_send_ms; /**< when an unchanged list is sent again */
 	jj_config_source_t config_source;
-	jj_ms_t next_vms;
-	jj_ms_t next_refresh;
-	jj_ms_t next_ask;
-	jj_ms_t unheard_until_ms; /**< see jj_core_is_unheard */
+	jj_ms_t next_vms_poll_ms;
+	jj_ms_t next_config_refresh_ms;
+	jj_ms_t next_config_request_ms;
+	jj_ms_t crash_history_due_ms; /**< see jj_core_awaits_crash_history */
 	size_t seen_count;
-	jj_seen_t seen[JJ_LEDGER_SLOTS];
-	jj_actions_t *out; /**< of the step under way, for callbacks */
+	jj_seen_process_t seen[JJ_LEDGER_SLOTS];
+	jj_actions_t *out; /**< of the event being handled, for callbacks */
 	jj_ms_t now; /**< likewise */
 };
 
--- a/src/core/core_status.c
+++ b/src/core/core_status.c
@@ -46,9 +46,9 @@
 describe_vms(const jj_core_t *core, jj_ms_t now)
 {
 	static const char *const states[] = {"starting", "serving", "leaving"};
-	size_t most = jj_member_count(core->member) + 1;
-	jj_member_info_t *infos = jj_alloc(most * sizeof(*infos));
-	size_t count = jj_member_list_all(core->member, infos, most);
+	size_t max = jj_member_count(core->member) + 1;
+	jj_member_info_t *infos = jj_alloc(max * sizeof(*infos));
+	size_t count = jj_member_list_all(core->member, infos, max);
 	json_t *array = json_array();
 	size_t i;
 
--- a/src/core/ledger.c
+++ b/src/core/ledger.c
@@ -1,6 +1,6 @@
 /**
  * @file ledger.c
- * @brief Beginning and ending calls; the ledger's frame.
+ * @brief Begins and ends calls; life cycle, ticks and status of the ledger.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -11,25 +11,27 @@
 #include "core/ledger_state.h"
 
 #define TICK_MS 250
-/* How long a copy of a refused CALL may be under way, behind its deadline. */
-#define REFUSAL_KEEP_MS 60000
+/* How long a duplicate of a refused CALL may arrive after its deadline. */
+#define REFUSAL_RETENTION_MS 60000
 
-static void tell(jj_ledger_t *, const jj_ledger_call_t *, jj_call_outcome_t,
-    int, const jj_bytes_t *, jj_ms_t, jj_ms_t, jj_actions_t *);
+static void
+send_answer(jj_ledger_t *, const jj_ledger_call_t *, jj_call_outcome_t, int,
+    const jj_bytes_t *, jj_ms_t, jj_ms_t, jj_actions_t *);
 static bool
-is_repeated(jj_ledger_t *, const jj_ledger_call_t *, jj_actions_t *);
-static void answer_known(jj_ledger_t *, const jj_ledger_call_t *,
+is_duplicate_call(jj_ledger_t *, const jj_ledger_call_t *, jj_actions_t *);
+static void answer_from_record(jj_ledger_t *, const jj_ledger_call_t *,
     const jj_ledger_entry_t *, jj_ms_t, jj_actions_t *);
-static bool may_start(jj_ledger_t *, uint32_t, jj_ms_t);
-static bool is_alone(const jj_ledger_t *, uint32_t);
-static void start(jj_ledger_t *, jj_ledger_call_t *, jj_ms_t, jj_actions_t *);
+static bool can_start(jj_ledger_t *, uint32_t, jj_ms_t);
+static bool is_home_without_witness(const jj_ledger_t *, uint32_t);
+static void
+start_call(jj_ledger_t *, jj_ledger_call_t *, jj_ms_t, jj_actions_t *);
 static void free_call(jj_ledger_call_t *);
 static jj_ledger_call_t *find_run(jj_ledger_t *, uint64_t);
-static void record_end(jj_ledger_t *, jj_ledger_entry_t *, jj_call_outcome_t,
-    int, const jj_bytes_t *, jj_ms_t, jj_actions_t *);
-static void give_up_waiting(jj_ledger_t *, jj_ms_t, jj_actions_t *);
-static void notice_time(jj_ledger_t *, jj_ms_t);
-static void do_duties(jj_ledger_t *, jj_ms_t, jj_actions_t *);
+static void record_outcome(jj_ledger_t *, jj_ledger_entry_t *,
+    jj_call_outcome_t, int, const jj_bytes_t *, jj_ms_t, jj_actions_t *);
+static void expire_ack_waits(jj_ledger_t *, jj_ms_t, jj_actions_t *);
+static void detect_pause(jj_ledger_t *, jj_ms_t);
+static void run_periodic_work(jj_ledger_t *, jj_ms_t, jj_actions_t *);
 static json_t *slot_status(const jj_ledger_t *, uint32_t);
 
 jj_ledger_t *
@@ -49,12 +51,12 @@
 	TAILQ_INIT(&ledger->resends);
 	ledger->next_run = 1;
 	ledger->next_attempt = 1;
-	ledger->next_ack = JJ_MS_NEVER;
+	ledger->next_ack_deadline = JJ_MS_NEVER;
 	ledger->started_ms = JJ_MS_NEVER;
-	ledger->read_wanted = true;
-	/* Before the first epoch nothing can have run. */
+	ledger->needs_read = true;
+	/* Before the first epoch no key can have run. */
 	for (i = 0; i < JJ_LEDGER_SLOTS; i++)
-		ledger->parts[i].complete = true;
+		ledger->slot_states[i].complete = true;
 	return ledger;
 }
 
@@ -74,7 +76,7 @@
 		free(resend);
 	}
 	for (i = 0; i < JJ_LEDGER_SLOTS; i++)
-		jj_ledger_sync_end(&ledger->parts[i]);
+		jj_ledger_sync_end(&ledger->slot_states[i]);
 	jj_ledger_records_destroy(ledger->records);
 	jj_ledger_refusals_destroy(ledger->refusals);
 	free(ledger);
@@ -102,7 +104,7 @@
 }
 
 bool
-jj_ledger_recall(jj_ledger_t *ledger, const jj_call_t *call, jj_ms_t now,
+jj_ledger_find_answer(jj_ledger_t *ledger, const jj_call_t *call, jj_ms_t now,
     jj_call_answer_t *answer)
 {
 	const jj_ledger_entry_t *entry =
@@ -118,61 +120,63 @@
 }
 
 bool
-jj_ledger_is_settling(jj_ledger_t *ledger, const jj_hash_t *key, jj_ms_t now)
+jj_ledger_is_syncing(jj_ledger_t *ledger, const jj_hash_t *key, jj_ms_t now)
 {
 	uint32_t slot = jj_ledger_slot(key);
-	const jj_ledger_part_t *part = &ledger->parts[slot];
-	jj_ms_t most_ms =
+	const jj_ledger_slot_state_t *state = &ledger->slot_states[slot];
+	jj_ms_t max_ms =
 	    ledger->settings.takeover_ms + ledger->settings.ack_timeout_ms;
 
-	return jj_ledger_is_home(ledger, slot) && part->complete &&
-	    !part->synced && now - part->entered_ms < most_ms &&
+	return jj_ledger_is_home(ledger, slot) && state->complete &&
+	    !state->synced && now - state->epoch_adopted_ms < max_ms &&
 	    jj_ledger_records_find(ledger->records, key, now) == NULL;
 }
 
 jj_ms_t
-jj_ledger_home_since(const jj_ledger_t *ledger, const jj_hash_t *key)
+jj_ledger_epoch_adopted_ms(const jj_ledger_t *ledger, const jj_hash_t *key)
 {
-	return ledger->parts[jj_ledger_slot(key)].entered_ms;
+	return ledger->slot_states[jj_ledger_slot(key)].epoch_adopted_ms;
 }
 
 void
 jj_ledger_begin(jj_ledger_t *ledger, uint64_t operation, const jj_name_t *from,
     const jj_call_t *call, jj_ms_t now, jj_actions_t *out)
 {
-	jj_ledger_call_t *begun = jj_alloc(sizeof(*begun));
+	jj_ledger_call_t *new_call = jj_alloc(sizeof(*new_call));
 	const jj_member_info_t *info;
 	jj_ledger_entry_t *entry;
 
-	begun->operation = operation;
-	begun->call = *call;
-	begun->call.path = jj_bytes_copy(call->path.data, call->path.size);
-	begun->call.body = jj_bytes_copy(call->body.data, call->body.size);
-	begun->slot = jj_ledger_slot(&call->key);
-	begun->deadline = now + call->budget_ms;
+	new_call->operation = operation;
+	new_call->call = *call;
+	new_call->call.path = jj_bytes_copy(call->path.data, call->path.size);
+	new_call->call.body = jj_bytes_copy(call->body.data, call->body.size);
+	new_call->slot = jj_ledger_slot(&call->key);
+	new_call->deadline = now + call->budget_ms;
 	if (from != NULL) {
 		info = ledger->port.find(ledger->port.ctx, from);
-		begun->forwarded = true;
-		begun->from.name = *from;
-		begun->from.incarnation = info != NULL ? info->incarnation : 0;
-		if (is_repeated(ledger, begun, out))
+		new_call->forwarded = true;
+		new_call->from.name = *from;
+		new_call->from.incarnation =
+		    info != NULL ? info->incarnation : 0;
+		if (is_duplicate_call(ledger, new_call, out))
 			goto out;
 	}
 	entry = jj_ledger_records_find(ledger->records, &call->key, now);
 	if (entry != NULL) {
-		answer_known(ledger, begun, entry, now, out);
+		answer_from_record(ledger, new_call, entry, now, out);
 		goto out;
 	}
-	if (call->budget_ms > 0 && may_start(ledger, begun->slot, now)) {
-		start(ledger, begun, now, out);
+	if (call->budget_ms > 0 && can_start(ledger, new_call->slot, now)) {
+		start_call(ledger, new_call, now, out);
 		return;
 	}
-	tell(ledger, begun,
-	    is_alone(ledger, begun->slot) ? JJ_CALL_NOT_RUN
-					  : JJ_CALL_NO_HISTORY,
-	    0, NULL, JJ_LEDGER_RETRY_MS, now, out);
+	send_answer(ledger, new_call,
+	    is_home_without_witness(ledger, new_call->slot)
+		? JJ_CALL_NOT_RUN
+		: JJ_CALL_NO_HISTORY,
+	    0, NULL, JJ_LEDGER_RETRY_AFTER_MS, now, out);
 out:
-	free_call(begun);
+	free_call(new_call);
 }
 
 void
@@ -187,7 +191,7 @@
 		return;
 	entry = jj_ledger_records_find(ledger->records, &call->call.key, now);
 	JJ_INVARIANT(entry != NULL && entry->run == run);
-	record_end(ledger, entry, outcome, status, body, now, out);
+	record_outcome(ledger, entry, outcome, status, body, now, out);
 	jj_ledger_finish(
 	    ledger, call, outcome, status, body, retry_after_ms, now, out);
 }
@@ -226,26 +230,27 @@
 {
 	if (version <= ledger->table.version)
 		return;
-	ledger->read_wanted = true;
+	ledger->needs_read = true;
 	jj_ledger_step_platform(ledger, now, out);
 }
 
 void
 jj_ledger_tick(jj_ledger_t *ledger, jj_ms_t now, jj_actions_t *out)
 {
-	notice_time(ledger, now);
-	give_up_waiting(ledger, now, out);
+	detect_pause(ledger, now);
+	expire_ack_waits(ledger, now, out);
 	if (now < ledger->next_tick)
 		return;
 	ledger->next_tick = now + TICK_MS;
-	do_duties(ledger, now, out);
+	run_periodic_work(ledger, now, out);
 }
 
 jj_ms_t
 jj_ledger_next(const jj_ledger_t *ledger)
 {
-	return ledger->next_ack < ledger->next_tick ? ledger->next_ack
-						    : ledger->next_tick;
+	return ledger->next_ack_deadline < ledger->next_tick
+	    ? ledger->next_ack_deadline
+	    : ledger->next_tick;
 }
 
 void
@@ -283,7 +288,7 @@
 {
 	if (slot >= JJ_LEDGER_SLOTS)
 		return;
-	ledger->parts[slot].released = true;
+	ledger->slot_states[slot].released = true;
 	jj_ledger_step_platform(ledger, now, out);
 }
 
@@ -338,12 +343,12 @@
 }
 
 bool
-jj_ledger_is_acting(const jj_ledger_t *ledger, uint32_t slot)
+jj_ledger_is_active_home(const jj_ledger_t *ledger, uint32_t slot)
 {
-	const jj_ledger_part_t *part = &ledger->parts[slot];
+	const jj_ledger_slot_state_t *state = &ledger->slot_states[slot];
 
-	return jj_ledger_is_home(ledger, slot) && part->complete &&
-	    part->synced;
+	return jj_ledger_is_home(ledger, slot) && state->complete &&
+	    state->synced;
 }
 
 void
@@ -351,13 +356,14 @@
     jj_call_outcome_t outcome, int status, const jj_bytes_t *body,
     jj_ms_t retry_after_ms, jj_ms_t now, jj_actions_t *out)
 {
-	tell(ledger, call, outcome, status, body, retry_after_ms, now, out);
+	send_answer(
+	    ledger, call, outcome, status, body, retry_after_ms, now, out);
 	TAILQ_REMOVE(&ledger->calls, call, link);
 	free_call(call);
 }
 
 void
-jj_ledger_give_up(jj_ledger_t *ledger, jj_ledger_call_t *call,
+jj_ledger_abandon(jj_ledger_t *ledger, jj_ledger_call_t *call,
     jj_call_outcome_t outcome, jj_ms_t now, jj_actions_t *out)
 {
 	jj_ledger_entry_t *entry;
@@ -366,11 +372,11 @@
 	entry = jj_ledger_records_find(ledger->records, &call->call.key, now);
 	if (entry != NULL && entry->run == call->run)
 		jj_ledger_records_remove(ledger->records, entry);
-	/* The witness may hold the intent although no word of it came. */
+	/* The witness may have the intent although no acknowledgement came. */
 	jj_ledger_send_resolve(
 	    ledger, call->slot, &call->call.key, call->attempt, true, now, out);
 	jj_ledger_finish(
-	    ledger, call, outcome, 0, NULL, JJ_LEDGER_RETRY_MS, now, out);
+	    ledger, call, outcome, 0, NULL, JJ_LEDGER_RETRY_AFTER_MS, now, out);
 }
 
 void
@@ -378,7 +384,7 @@
     jj_ledger_t *ledger, jj_ledger_call_t *call, jj_ms_t now, jj_actions_t *out)
 {
 	if (now >= call->deadline) {
-		jj_ledger_give_up(ledger, call, JJ_CALL_NOT_RUN, now, out);
+		jj_ledger_abandon(ledger, call, JJ_CALL_NOT_RUN, now, out);
 		return;
 	}
 	call->running = true;
@@ -387,13 +393,13 @@
 }
 
 static void
-tell(jj_ledger_t *ledger, const jj_ledger_call_t *call,
+send_answer(jj_ledger_t *ledger, const jj_ledger_call_t *call,
     jj_call_outcome_t outcome, int status, const jj_bytes_t *body,
     jj_ms_t retry_after_ms, jj_ms_t now, jj_actions_t *out)
 {
 	jj_call_answer_t *answer;
 	jj_action_t *action;
-	jj_ms_t until = call->deadline + REFUSAL_KEEP_MS;
+	jj_ms_t until = call->deadline + REFUSAL_RETENTION_MS;
 
 	if (call->forwarded) {
 		answer = &jj_actions_add_message(
@@ -412,8 +418,8 @@
 		answer->body = jj_bytes_copy(body->data, body->size);
 	if (!call->forwarded)
 		return;
-	if (until < now + REFUSAL_KEEP_MS)
-		until = now + REFUSAL_KEEP_MS;
+	if (until < now + REFUSAL_RETENTION_MS)
+		until = now + REFUSAL_RETENTION_MS;
 	if (outcome == JJ_CALL_NOT_RUN || outcome == JJ_CALL_NO_HISTORY ||
 	    outcome == JJ_CALL_MISMATCH)
 		jj_ledger_refusals_add(ledger->refusals, &call->from,
@@ -421,14 +427,14 @@
 }
 
 /*
- * A copy of a CALL message: the entry VM asked again, or the network
- * repeated it. While the call is open its one answer is still to come; a
- * refused one is refused again, see ledger_refusals.h. A copy of a call that
- * ran finds its record.
+ * Detects a duplicate CALL message: the entry VM sent it again, or the network
+ * repeated it. While the call is open, its one answer is still to come; a
+ * refused call is refused again, see ledger_refusals.h. A duplicate of a call
+ * that ran finds its record.
  */
 static bool
-is_repeated(
-    jj_ledger_t *ledger, const jj_ledger_call_t *begun, jj_actions_t *out)
+is_duplicate_call(
+    jj_ledger_t *ledger, const jj_ledger_call_t *new_call, jj_actions_t *out)
 {
 	const jj_ledger_call_t *call;
 	jj_message_t *message;
@@ -436,73 +442,82 @@
 
 	TAILQ_FOREACH(call, &ledger->calls, link)
 	{
-		if (call->forwarded && call->call.call == begun->call.call &&
-		    call->from.incarnation == begun->from.incarnation &&
-		    jj_name_equal(&call->from.name, &begun->from.name))
+		if (call->forwarded && call->call.call == new_call->call.call &&
+		    call->from.incarnation == new_call->from.incarnation &&
+		    jj_name_equal(&call->from.name, &new_call->from.name))
 			return true;
 	}
-	if (!jj_ledger_refusals_find(
-		ledger->refusals, &begun->from, begun->call.call, &outcome))
+	if (!jj_ledger_refusals_find(ledger->refusals, &new_call->from,
+		new_call->call.call, &outcome))
 		return false;
 	message = jj_actions_add_message(
-	    out, &begun->from.name, JJ_MESSAGE_CALL_ANSWER);
-	message->body.call_answer.call = begun->call.call;
+	    out, &new_call->from.name, JJ_MESSAGE_CALL_ANSWER);
+	message->body.call_answer.call = new_call->call.call;
 	message->body.call_answer.outcome = outcome;
-	message->body.call_answer.retry_after_ms = JJ_LEDGER_RETRY_MS;
+	message->body.call_answer.retry_after_ms = JJ_LEDGER_RETRY_AFTER_MS;
 	return true;
 }
 
 static void
-answer_known(jj_ledger_t *ledger, const jj_ledger_call_t *begun,
+answer_from_record(jj_ledger_t *ledger, const jj_ledger_call_t *new_call,
     const jj_ledger_entry_t *entry, jj_ms_t now, jj_actions_t *out)
 {
 	bool own = entry->run != 0;
 
 	if (entry->state == JJ_RECORD_INTENT && !own) {
-		/* A witness's view: only the home knows whether it runs. */
-		tell(ledger, begun, JJ_CALL_NO_HISTORY, 0, NULL,
-		    JJ_LEDGER_RETRY_MS, now, out);
-	} else if (entry->fingerprint != begun->call.fingerprint) {
-		tell(ledger, begun, JJ_CALL_MISMATCH, 0, NULL, 0, now, out);
+		/*
+		 * Only the home knows whether the call of an intent still runs.
+		 */
+		send_answer(ledger, new_call, JJ_CALL_NO_HISTORY, 0, NULL,
+		    JJ_LEDGER_RETRY_AFTER_MS, now, out);
+	} else if (entry->fingerprint != new_call->call.fingerprint) {
+		send_answer(
+		    ledger, new_call, JJ_CALL_MISMATCH, 0, NULL, 0, now, out);
 	} else if (entry->state == JJ_RECORD_INTENT) {
-		tell(ledger, begun, JJ_CALL_IN_PROGRESS, 0, NULL,
-		    JJ_LEDGER_RETRY_MS, now, out);
+		send_answer(ledger, new_call, JJ_CALL_IN_PROGRESS, 0, NULL,
+		    JJ_LEDGER_RETRY_AFTER_MS, now, out);
 	} else if (entry->state == JJ_RECORD_DONE) {
-		tell(ledger, begun, JJ_CALL_REPLAYED, entry->status,
+		send_answer(ledger, new_call, JJ_CALL_REPLAYED, entry->status,
 		    &entry->answer, 0, now, out);
 	} else {
-		tell(ledger, begun, JJ_CALL_UNKNOWN, 0, NULL, 0, now, out);
+		send_answer(
+		    ledger, new_call, JJ_CALL_UNKNOWN, 0, NULL, 0, now, out);
 	}
 }
 
-/* True when a key without a record is surely new and may be begun here. */
+/*
+ * True when a key without a record has certainly not run, and may start here.
+ */
 static bool
-may_start(jj_ledger_t *ledger, uint32_t slot, jj_ms_t now)
+can_start(jj_ledger_t *ledger, uint32_t slot, jj_ms_t now)
 {
-	jj_ledger_part_t *part = &ledger->parts[slot];
+	jj_ledger_slot_state_t *state = &ledger->slot_states[slot];
 
-	if (!jj_ledger_is_acting(ledger, slot))
+	if (!jj_ledger_is_active_home(ledger, slot))
 		return false;
-	if (part->unknown &&
-	    now - part->unknown_since > ledger->settings.retention_ms)
-		part->unknown = false;
-	if (part->unknown)
+	if (state->unknown &&
+	    now - state->unknown_since > ledger->settings.retention_ms)
+		state->unknown = false;
+	if (state->unknown)
 		return false;
 	return jj_ledger_records_count(ledger->records) <
 	    ledger->settings.record_max;
 }
 
-/* A lone home with known history cannot have been deposed. */
+/*
+ * True for a home without a witness whose history is known: no other VM can
+ * have deposed it.
+ */
 static bool
-is_alone(const jj_ledger_t *ledger, uint32_t slot)
+is_home_without_witness(const jj_ledger_t *ledger, uint32_t slot)
 {
-	return jj_ledger_is_acting(ledger, slot) &&
-	    !ledger->parts[slot].unknown &&
+	return jj_ledger_is_active_home(ledger, slot) &&
+	    !ledger->slot_states[slot].unknown &&
 	    jj_name_is_empty(&ledger->table.slots[slot].witness.name);
 }
 
 static void
-start(
+start_call(
     jj_ledger_t *ledger, jj_ledger_call_t *call, jj_ms_t now, jj_actions_t *out)
 {
 	jj_ledger_entry_t *entry;
@@ -517,15 +532,15 @@
 	entry->epoch = ledger->table.slots[call->slot].epoch;
 	entry->run = call->run;
 	TAILQ_INSERT_TAIL(&ledger->calls, call, link);
-	if (is_alone(ledger, call->slot)) {
+	if (is_home_without_witness(ledger, call->slot)) {
 		jj_ledger_run(ledger, call, now, out);
 		return;
 	}
-	call->ack_due = now + ledger->settings.ack_timeout_ms;
-	if (call->ack_due > call->deadline)
-		call->ack_due = call->deadline;
-	if (ledger->next_ack > call->ack_due)
-		ledger->next_ack = call->ack_due;
+	call->ack_deadline = now + ledger->settings.ack_timeout_ms;
+	if (call->ack_deadline > call->deadline)
+		call->ack_deadline = call->deadline;
+	if (ledger->next_ack_deadline > call->ack_deadline)
+		ledger->next_ack_deadline = call->ack_deadline;
 	jj_ledger_send_intent(ledger, entry, now, out);
 }
 
@@ -551,7 +566,7 @@
 }
 
 static void
-record_end(jj_ledger_t *ledger, jj_ledger_entry_t *entry,
+record_outcome(jj_ledger_t *ledger, jj_ledger_entry_t *entry,
     jj_call_outcome_t outcome, int status, const jj_bytes_t *body, jj_ms_t now,
     jj_actions_t *out)
 {
@@ -577,41 +592,41 @@
 		jj_ledger_send_resolve(
 		    ledger, slot, &key, attempt, removed, now, out);
 	else if (outcome == JJ_CALL_DONE)
-		jj_ledger_tell_home(ledger, entry, now, out);
+		jj_ledger_notify_home(ledger, entry, now, out);
 }
 
 /*
- * No word from the witness in time. It is not known whether this home was
- * deposed and its successor ran the key: NO_HISTORY, never NOT_RUN.
+ * The witness did not acknowledge in time. Whether this home was deposed and
+ * its successor ran the key is unknown: NO_HISTORY, never NOT_RUN.
  */
 static void
-give_up_waiting(jj_ledger_t *ledger, jj_ms_t now, jj_actions_t *out)
+expire_ack_waits(jj_ledger_t *ledger, jj_ms_t now, jj_actions_t *out)
 {
 	jj_ledger_call_t *call;
 	jj_ledger_call_t *next;
 
-	if (now < ledger->next_ack)
+	if (now < ledger->next_ack_deadline)
 		return;
-	ledger->next_ack = JJ_MS_NEVER;
+	ledger->next_ack_deadline = JJ_MS_NEVER;
 	for (call = TAILQ_FIRST(&ledger->calls); call != NULL; call = next) {
 		next = TAILQ_NEXT(call, link);
 		if (call->running)
 			continue;
-		if (call->ack_due <= now)
-			jj_ledger_give_up(
+		if (call->ack_deadline <= now)
+			jj_ledger_abandon(
 			    ledger, call, JJ_CALL_NO_HISTORY, now, out);
-		else if (call->ack_due < ledger->next_ack)
-			ledger->next_ack = call->ack_due;
+		else if (call->ack_deadline < ledger->next_ack_deadline)
+			ledger->next_ack_deadline = call->ack_deadline;
 	}
 }
 
 /*
- * After a pause of this process all neighbours seem silent: their words are
- * still unread. Silence counts anew from here, so that a VM that wakes does
- * not depose those that went on without it.
+ * After a pause of this process all neighbours seem unreachable, because their
+ * heartbeats are not read yet. Restarts the measurement of silence, so that a
+ * VM that resumes does not depose VMs that kept running.
  */
 static void
-notice_time(jj_ledger_t *ledger, jj_ms_t now)
+detect_pause(jj_ledger_t *ledger, jj_ms_t now)
 {
 	jj_ms_t limit = ledger->settings.takeover_ms / 2;
 
@@ -622,7 +637,7 @@
 }
 
 static void
-do_duties(jj_ledger_t *ledger, jj_ms_t now, jj_actions_t *out)
+run_periodic_work(jj_ledger_t *ledger, jj_ms_t now, jj_actions_t *out)
 {
 	jj_ledger_sync_tick(ledger, now, out);
 	jj_ledger_resend(ledger, now, out);
@@ -630,7 +645,7 @@
 	jj_ledger_records_sweep(ledger->records, ledger->sweep_slot, now);
 	ledger->sweep_slot = (ledger->sweep_slot + 1) % JJ_LEDGER_SLOTS;
 	jj_ledger_step_platform(ledger, now, out);
-	if (now >= ledger->gossip_after)
+	if (now >= ledger->next_gossip_ms)
 		jj_ledger_spread_table(ledger, now, out);
 }
 
@@ -638,7 +653,7 @@
 slot_status(const jj_ledger_t *ledger, uint32_t index)
 {
 	const jj_ledger_slot_t *slot = &ledger->table.slots[index];
-	const jj_ledger_part_t *part = &ledger->parts[index];
+	const jj_ledger_slot_state_t *state = &ledger->slot_states[index];
 	json_t *json = json_object();
 
 	json_object_set_new(
@@ -646,9 +661,9 @@
 	json_object_set_new(json, "home", json_string(slot->home.name.text));
 	json_object_set_new(
 	    json, "witness", json_string(slot->witness.name.text));
-	json_object_set_new(json, "complete", json_boolean(part->complete));
-	json_object_set_new(json, "synced", json_boolean(part->synced));
+	json_object_set_new(json, "complete", json_boolean(state->complete));
+	json_object_set_new(json, "synced", json_boolean(state->synced));
 	json_object_set_new(
-	    json, "history_unknown", json_boolean(part->unknown));
+	    json, "history_unknown", json_boolean(state->unknown));
 	return json;
 }
--- a/src/core/ledger_intent.c
+++ b/src/core/ledger_intent.c
@@ -1,13 +1,14 @@
 /**
  * @file ledger_intent.c
- * @brief Home and witness: intents, their acknowledgement, how calls ended.
+ * @brief Messages between home and witness: intents, acknowledgements,
+ * outcomes.
  */
 #include <stdlib.h>
 
 #include "core/ledger_state.h"
 
-static bool record_intent(jj_ledger_t *, const jj_record_t *, jj_ms_t, bool *);
-static void send_resolve_once(
+static bool store_intent(jj_ledger_t *, const jj_record_t *, jj_ms_t, bool *);
+static void send_resolve(
     jj_ledger_t *, const jj_ledger_resend_t *, jj_ms_t, jj_actions_t *);
 
 void
@@ -40,11 +41,11 @@
 	resend->attempt = attempt;
 	resend->removed = removed;
 	TAILQ_INSERT_TAIL(&ledger->resends, resend, link);
-	send_resolve_once(ledger, resend, now, out);
+	send_resolve(ledger, resend, now, out);
 }
 
 void
-jj_ledger_tell_home(jj_ledger_t *ledger, const jj_ledger_entry_t *entry,
+jj_ledger_notify_home(jj_ledger_t *ledger, const jj_ledger_entry_t *entry,
     jj_ms_t now, jj_actions_t *out)
 {
 	const jj_ledger_slot_t *slot = &ledger->table.slots[entry->slot];
@@ -58,10 +59,10 @@
 }
 
 /*
- * The failure: a deposed home, frozen or cut off, sends its intent when its
- * successor may have run the key; the call would run twice. A witness
- * refuses each epoch but the one it is in, each process but that epoch's
- * home, and each key whose end it knows.
+ * Guards against a call that runs twice: a deposed home that was paused or cut
+ * off sends its intent after its successor may have run the key. A witness
+ * refuses any epoch but its own, any process but that epoch's home, and any key
+ * whose outcome it knows.
  */
 void
 jj_ledger_take_intent(jj_ledger_t *ledger, const jj_message_t *message,
@@ -77,14 +78,14 @@
 		return;
 	slot = &ledger->table.slots[intent->slot];
 	if (intent->epoch > slot->epoch) {
-		ledger->read_wanted = true;
+		ledger->needs_read = true;
 		return;
 	}
 	if (intent->epoch == slot->epoch &&
 	    jj_ledger_is_witness(ledger, intent->slot) &&
 	    jj_ledger_is_from(&slot->home, message) &&
-	    ledger->parts[intent->slot].synced) {
-		if (!record_intent(ledger, &intent->record, now, &accepted))
+	    ledger->slot_states[intent->slot].synced) {
+		if (!store_intent(ledger, &intent->record, now, &accepted))
 			return;
 	}
 	reply =
@@ -111,7 +112,10 @@
 	    !jj_ledger_is_home(ledger, ack->slot) ||
 	    !jj_ledger_is_from(&slot->witness, message))
 		return;
-	/* The attempt's number keeps an answer to an abandoned one apart. */
+	/*
+	 * The attempt number tells apart acknowledgements of abandoned
+	 * attempts.
+	 */
 	TAILQ_FOREACH(call, &ledger->calls, link)
 	{
 		if (!call->running && call->attempt == ack->attempt &&
@@ -124,14 +128,14 @@
 		jj_ledger_run(ledger, call, now, out);
 		return;
 	}
-	ledger->read_wanted = true;
-	jj_ledger_give_up(ledger, call, JJ_CALL_NO_HISTORY, now, out);
+	ledger->needs_read = true;
+	jj_ledger_abandon(ledger, call, JJ_CALL_NO_HISTORY, now, out);
 }
 
 /*
- * A key runs once at most, so whoever says DONE for the same content speaks
- * of the only run there was: it replaces "unknown" at any holder. Forgetting
- * a key is only for the witness of the very attempt, on its home's word.
+ * A key runs at most once, so a DONE record for the same content describes the
+ * only run: it replaces "unknown" at any VM that has the key. A key is removed
+ * only by the witness, for this attempt and by order of the home.
  */
 void
 jj_ledger_take_resolve(
@@ -176,17 +180,17 @@
 		TAILQ_REMOVE(&ledger->resends, resend, link);
 		if (resend->epoch == ledger->table.slots[resend->slot].epoch &&
 		    jj_ledger_is_home(ledger, resend->slot))
-			send_resolve_once(ledger, resend, now, out);
+			send_resolve(ledger, resend, now, out);
 		free(resend);
 	}
 }
 
 /*
  * Records an intent as the witness.
- * @return false when it is an older attempt than the known one: no reply.
+ * @return false for an attempt older than the recorded one: no reply is sent.
  */
 static bool
-record_intent(
+store_intent(
     jj_ledger_t *ledger, const jj_record_t *record, jj_ms_t now, bool *accepted)
 {
 	uint64_t epoch =
@@ -213,8 +217,8 @@
 }
 
 static void
-send_resolve_once(jj_ledger_t *ledger, const jj_ledger_resend_t *resend,
-    jj_ms_t now, jj_actions_t *out)
+send_resolve(jj_ledger_t *ledger, const jj_ledger_resend_t *resend, jj_ms_t now,
+    jj_actions_t *out)
 {
 	const jj_ledger_slot_t *slot = &ledger->table.slots[resend->slot];
 	const jj_ledger_entry_t *entry = NULL;
--- a/src/core/ledger_plan.c
+++ b/src/core/ledger_plan.c
@@ -1,20 +1,20 @@
 /**
  * @file ledger_plan.c
- * @brief Which VM should be home and witness of which slot.
+ * @brief Decides which VMs are home and witness of each slot.
  *
- * A lost VM is replaced at once and in one write; slots move to their best
- * VMs (rendezvous hashing) slowly, a few in each write.
+ * A lost VM is replaced at once and in one write; slots move to their best VMs
+ * (rendezvous hashing) slowly, a few per write.
  */
 #include <stdlib.h>
 
 #include "core/ledger_state.h"
 
-/* Slots moved in one write, and times between such writes. */
+/* Slots moved per rebalancing write, and the time between such writes. */
 #define REBALANCE_SLOTS 4
 #define REBALANCE_MS 3000
 #define REBALANCE_JITTER_MS 1000
 
-/** What the decisions look at, taken once for all slots. */
+/** Inputs of the decisions, read once for all slots. */
 struct view {
 	const jj_ledger_t *ledger;
 	jj_ms_t now;
@@ -22,26 +22,28 @@
 	size_t live_count;
 };
 
-static void view_open(struct view *, const jj_ledger_t *, jj_ms_t);
+static void view_init(struct view *, const jj_ledger_t *, jj_ms_t);
 static bool plan_slot(const struct view *, uint32_t, jj_ledger_slot_t *);
 static bool plan_as_home(const struct view *, uint32_t, jj_ledger_slot_t *);
 static bool plan_leaving(const struct view *, uint32_t, jj_ledger_slot_t *);
-static bool plan_better(const struct view *, uint32_t, jj_ledger_slot_t *);
+static bool
+plan_towards_best(const struct view *, uint32_t, jj_ledger_slot_t *);
 static bool
 plan_rebalance(jj_ledger_t *, const struct view *, jj_ledger_table_t *);
-static bool is_dead(const struct view *, uint32_t);
-static bool is_gone(const struct view *, uint32_t, const jj_ledger_vm_t *);
+static bool is_history_lost(const struct view *, uint32_t);
+static bool
+has_lost_history(const struct view *, uint32_t, const jj_ledger_vm_t *);
 static bool is_lost(const struct view *, const jj_ledger_vm_t *);
 static bool is_replaced(const struct view *, const jj_ledger_vm_t *);
-static bool is_silent(const struct view *, const jj_ledger_vm_t *);
+static bool is_unreachable(const struct view *, const jj_ledger_vm_t *);
 static bool is_leaving(const struct view *, const jj_ledger_vm_t *);
-static bool is_nobody(const jj_ledger_vm_t *);
-static bool is_same(const jj_ledger_vm_t *, const jj_ledger_vm_t *);
-static bool choose(const struct view *, uint32_t, const jj_ledger_vm_t *,
+static bool is_empty_vm(const jj_ledger_vm_t *);
+static bool is_same_process(const jj_ledger_vm_t *, const jj_ledger_vm_t *);
+static bool choose_vm(const struct view *, uint32_t, const jj_ledger_vm_t *,
     const jj_ledger_vm_t *, jj_ledger_vm_t *);
-static uint64_t slot_item(const jj_ledger_t *, uint32_t);
-static void
-open_epoch(jj_ledger_slot_t *, const jj_ledger_vm_t *, const jj_ledger_vm_t *);
+static uint64_t hash_slot(const jj_ledger_t *, uint32_t);
+static void set_next_epoch(
+    jj_ledger_slot_t *, const jj_ledger_vm_t *, const jj_ledger_vm_t *);
 
 bool
 jj_ledger_plan(jj_ledger_t *ledger, jj_ledger_table_t *table, jj_ms_t now)
@@ -50,21 +52,21 @@
 	bool changed = false;
 	uint32_t i;
 
-	view_open(&view, ledger, now);
+	view_init(&view, ledger, now);
 	*table = ledger->table;
 	for (i = 0; i < JJ_LEDGER_SLOTS; i++)
 		changed |= plan_slot(&view, i, &table->slots[i]);
-	if (!changed && !ledger->leaving && now >= ledger->rebalance_after)
+	if (!changed && !ledger->leaving && now >= ledger->next_rebalance_ms)
 		changed = plan_rebalance(ledger, &view, table);
 	free(view.live);
 	return changed;
 }
 
 /*
- * With several VMs in sight the first table waits for half a takeover time,
- * so that most have been heard; a VM alone waits for the whole. A neighbour
- * that knows a table forbids to begin another one: the platform's "absent"
- * would then be a lost object, and a fresh table a lost history.
+ * With several live VMs the first table waits for half the takeover time, so
+ * that heartbeats of most VMs have arrived; a single VM waits for the whole. If
+ * a neighbour has a table, none is created: the platform's "absent" would then
+ * mean a lost object, and a new table would lose the history.
  */
 bool
 jj_ledger_plan_first(jj_ledger_t *ledger, jj_ledger_table_t *table, jj_ms_t now)
@@ -74,7 +76,7 @@
 	bool ready = true;
 	size_t i;
 
-	view_open(&view, ledger, now);
+	view_init(&view, ledger, now);
 	if (view.live_count > 1)
 		wait /= 2;
 	for (i = 0; i < view.live_count; i++)
@@ -86,16 +88,16 @@
 		jj_ledger_vm_t home;
 		jj_ledger_vm_t witness;
 
-		ready = choose(&view, (uint32_t)i, NULL, NULL, &home);
-		(void)choose(&view, (uint32_t)i, &home, NULL, &witness);
-		open_epoch(&table->slots[i], &home, &witness);
+		ready = choose_vm(&view, (uint32_t)i, NULL, NULL, &home);
+		(void)choose_vm(&view, (uint32_t)i, &home, NULL, &witness);
+		set_next_epoch(&table->slots[i], &home, &witness);
 	}
 	free(view.live);
 	return ready;
 }
 
 static void
-view_open(struct view *view, const jj_ledger_t *ledger, jj_ms_t now)
+view_init(struct view *view, const jj_ledger_t *ledger, jj_ms_t now)
 {
 	view->ledger = ledger;
 	view->now = now;
@@ -105,15 +107,16 @@
 }
 
 /*
- * The failure: a witness that was never synced takes over and runs keys that
- * the lost home had run. Only a part with whole history opens an epoch.
+ * Guards against a witness that was never synced but takes over and runs keys
+ * that the lost home has run. Only a VM with the complete history opens an
+ * epoch.
  */
 static bool
 plan_slot(const struct view *view, uint32_t index, jj_ledger_slot_t *slot)
 {
 	const jj_ledger_t *ledger = view->ledger;
 	const jj_ledger_vm_t lost_home = slot->home;
-	bool complete = ledger->parts[index].complete;
+	bool complete = ledger->slot_states[index].complete;
 	jj_ledger_vm_t best;
 	jj_ledger_vm_t witness;
 
@@ -122,19 +125,23 @@
 	if (complete && jj_ledger_is_witness(ledger, index)) {
 		if (!is_lost(view, &slot->home))
 			return false;
-		(void)choose(view, index, &ledger->self, &lost_home, &witness);
-		open_epoch(slot, &ledger->self, &witness);
+		(void)choose_vm(
+		    view, index, &ledger->self, &lost_home, &witness);
+		set_next_epoch(slot, &ledger->self, &witness);
 		return true;
 	}
-	if (ledger->leaving || !is_dead(view, index))
+	if (ledger->leaving || !is_history_lost(view, index))
 		return false;
-	/* One VM is enough to begin anew; the others would only conflict. */
-	if (!ledger->parts[index].released &&
-	    (!choose(view, index, NULL, NULL, &best) ||
+	/*
+	 * Only the best VM reopens the slot; writes of the others would
+	 * conflict.
+	 */
+	if (!ledger->slot_states[index].released &&
+	    (!choose_vm(view, index, NULL, NULL, &best) ||
 		!jj_ledger_is_self(ledger, &best)))
 		return false;
-	(void)choose(view, index, &ledger->self, NULL, &witness);
-	open_epoch(slot, &ledger->self, &witness);
+	(void)choose_vm(view, index, &ledger->self, NULL, &witness);
+	set_next_epoch(slot, &ledger->self, &witness);
 	slot->unknown = true;
 	return true;
 }
@@ -146,15 +153,15 @@
 	const jj_ledger_vm_t old = slot->witness;
 	jj_ledger_vm_t witness;
 
-	if (is_nobody(&old)) {
-		if (!choose(view, index, self, NULL, &witness))
+	if (is_empty_vm(&old)) {
+		if (!choose_vm(view, index, self, NULL, &witness))
 			return false;
-		open_epoch(slot, self, &witness);
+		set_next_epoch(slot, self, &witness);
 		return true;
 	}
 	if (is_lost(view, &old) || is_leaving(view, &old)) {
-		(void)choose(view, index, self, &old, &witness);
-		open_epoch(slot, self, &witness);
+		(void)choose_vm(view, index, self, &old, &witness);
+		set_next_epoch(slot, self, &witness);
 		return true;
 	}
 	return view->ledger->leaving && plan_leaving(view, index, slot);
@@ -164,39 +171,43 @@
 static bool
 plan_leaving(const struct view *view, uint32_t index, jj_ledger_slot_t *slot)
 {
-	const jj_ledger_vm_t heir = slot->witness;
+	const jj_ledger_vm_t successor = slot->witness;
 	jj_ledger_vm_t witness;
 
-	if (!view->ledger->parts[index].synced)
+	if (!view->ledger->slot_states[index].synced)
 		return false;
-	/* Not this VM again, unless there is no other: it still holds all. */
-	if (!choose(view, index, &view->ledger->self, &heir, &witness))
+	/*
+	 * This VM is the new witness only when there is no other; it still has
+	 * all records.
+	 */
+	if (!choose_vm(view, index, &view->ledger->self, &successor, &witness))
 		witness = view->ledger->self;
-	open_epoch(slot, &heir, &witness);
+	set_next_epoch(slot, &successor, &witness);
 	return true;
 }
 
-/* One step of an acting home towards the slot's two best VMs. */
+/* An active home moves the slot one step towards its two best VMs. */
 static bool
-plan_better(const struct view *view, uint32_t index, jj_ledger_slot_t *slot)
+plan_towards_best(
+    const struct view *view, uint32_t index, jj_ledger_slot_t *slot)
 {
 	const jj_ledger_vm_t *self = &view->ledger->self;
 	const jj_ledger_vm_t old = slot->witness;
 	jj_ledger_vm_t best;
 	jj_ledger_vm_t second;
 
-	if (!jj_ledger_is_acting(view->ledger, index) ||
-	    !choose(view, index, NULL, NULL, &best))
+	if (!jj_ledger_is_active_home(view->ledger, index) ||
+	    !choose_vm(view, index, NULL, NULL, &best))
 		return false;
-	if (is_same(&best, self)) {
-		if (!choose(view, index, self, NULL, &second) ||
-		    is_same(&second, &old))
+	if (is_same_process(&best, self)) {
+		if (!choose_vm(view, index, self, NULL, &second) ||
+		    is_same_process(&second, &old))
 			return false;
-		open_epoch(slot, self, &second);
-	} else if (is_same(&best, &old)) {
-		open_epoch(slot, &old, self);
+		set_next_epoch(slot, self, &second);
+	} else if (is_same_process(&best, &old)) {
+		set_next_epoch(slot, &old, self);
 	} else {
-		open_epoch(slot, self, &best);
+		set_next_epoch(slot, self, &best);
 	}
 	return true;
 }
@@ -210,39 +221,42 @@
 	uint32_t i;
 
 	for (i = 0; i < JJ_LEDGER_SLOTS && moved < REBALANCE_SLOTS; i++) {
-		if (plan_better(view, i, &table->slots[i]))
+		if (plan_towards_best(view, i, &table->slots[i]))
 			moved++;
 	}
 	jitter =
 	    jj_hash_bytes(&view->now, sizeof(view->now), ledger->settings.seed);
-	ledger->rebalance_after =
+	ledger->next_rebalance_ms =
 	    view->now + REBALANCE_MS + (jj_ms_t)(jitter % REBALANCE_JITTER_MS);
 	return moved > 0;
 }
 
-/* True when no process that holds the slot's whole history can come back. */
+/* True when no process that has the slot's complete history can return. */
 static bool
-is_dead(const struct view *view, uint32_t index)
+is_history_lost(const struct view *view, uint32_t index)
 {
 	const jj_ledger_slot_t *slot = &view->ledger->table.slots[index];
 
-	return is_gone(view, index, &slot->home) &&
-	    (is_nobody(&slot->witness) || is_gone(view, index, &slot->witness));
+	return has_lost_history(view, index, &slot->home) &&
+	    (is_empty_vm(&slot->witness) ||
+		has_lost_history(view, index, &slot->witness));
 }
 
 /*
- * One VM name runs in one place: a confirmed new incarnation means that the
- * old process is gone. This VM's own part without whole history counts as
- * gone. Silence is no proof, except on an operator's word.
+ * A VM name runs on one VM only: a confirmed new incarnation means that the old
+ * process has ended. This VM counts as lost when it does not have the complete
+ * history. Missing heartbeats prove nothing, unless an operator released the
+ * slot.
  */
 static bool
-is_gone(const struct view *view, uint32_t index, const jj_ledger_vm_t *vm)
+has_lost_history(
+    const struct view *view, uint32_t index, const jj_ledger_vm_t *vm)
 {
-	const jj_ledger_part_t *part = &view->ledger->parts[index];
+	const jj_ledger_slot_state_t *state = &view->ledger->slot_states[index];
 
 	if (jj_ledger_is_self(view->ledger, vm))
-		return !part->complete;
-	return is_replaced(view, vm) || (part->released && is_lost(view, vm));
+		return !state->complete;
+	return is_replaced(view, vm) || (state->released && is_lost(view, vm));
 }
 
 static bool
@@ -250,7 +264,7 @@
 {
 	if (jj_ledger_is_self(view->ledger, vm))
 		return false;
-	return is_replaced(view, vm) || is_silent(view, vm);
+	return is_replaced(view, vm) || is_unreachable(view, vm);
 }
 
 static bool
@@ -267,17 +281,17 @@
 }
 
 static bool
-is_silent(const struct view *view, const jj_ledger_vm_t *vm)
+is_unreachable(const struct view *view, const jj_ledger_vm_t *vm)
 {
 	const jj_ledger_t *ledger = view->ledger;
 	const jj_member_info_t *info;
-	jj_ms_t heard = ledger->started_ms;
+	jj_ms_t last_heard_ms = ledger->started_ms;
 
 	info = ledger->port.find(ledger->port.ctx, &vm->name);
 	if (info != NULL && info->heard_ms != JJ_MS_NEVER &&
-	    info->heard_ms > heard)
-		heard = info->heard_ms;
-	return view->now - heard > ledger->settings.takeover_ms;
+	    info->heard_ms > last_heard_ms)
+		last_heard_ms = info->heard_ms;
+	return view->now - last_heard_ms > ledger->settings.takeover_ms;
 }
 
 static bool
@@ -291,27 +305,27 @@
 }
 
 static bool
-is_nobody(const jj_ledger_vm_t *vm)
+is_empty_vm(const jj_ledger_vm_t *vm)
 {
 	return jj_name_is_empty(&vm->name);
 }
 
 static bool
-is_same(const jj_ledger_vm_t *a, const jj_ledger_vm_t *b)
+is_same_process(const jj_ledger_vm_t *a, const jj_ledger_vm_t *b)
 {
 	return a->incarnation == b->incarnation &&
 	    jj_name_equal(&a->name, &b->name);
 }
 
 /*
- * The live VM with the greatest weight for the slot, but for two; nobody
- * when there is none.
+ * Chooses the live VM with the greatest rendezvous weight for the slot, except
+ * @p not_a and @p not_b; an empty name when there is none.
  */
 static bool
-choose(const struct view *view, uint32_t index, const jj_ledger_vm_t *not_a,
+choose_vm(const struct view *view, uint32_t index, const jj_ledger_vm_t *not_a,
     const jj_ledger_vm_t *not_b, jj_ledger_vm_t *chosen)
 {
-	uint64_t item = slot_item(view->ledger, index);
+	uint64_t item = hash_slot(view->ledger, index);
 	uint64_t best = 0;
 	uint64_t weight;
 	jj_ledger_vm_t vm;
@@ -323,19 +337,19 @@
 		vm.incarnation = view->live[i].incarnation;
 		if (vm.incarnation == 0 || is_lost(view, &vm) ||
 		    (not_a != NULL && jj_name_equal(&vm.name, &not_a->name)) ||
-		    (not_b != NULL && is_same(&vm, not_b)))
+		    (not_b != NULL && is_same_process(&vm, not_b)))
 			continue;
 		weight = jj_rendezvous_weight(vm.name.text, item);
-		if (!is_nobody(chosen) && weight <= best)
+		if (!is_empty_vm(chosen) && weight <= best)
 			continue;
 		best = weight;
 		*chosen = vm;
 	}
-	return !is_nobody(chosen);
+	return !is_empty_vm(chosen);
 }
 
 static uint64_t
-slot_item(const jj_ledger_t *ledger, uint32_t index)
+hash_slot(const jj_ledger_t *ledger, uint32_t index)
 {
 	return jj_hash_bytes(&index, sizeof(index),
 	    jj_hash_bytes(ledger->settings.domain.text,
@@ -343,7 +357,7 @@
 }
 
 static void
-open_epoch(jj_ledger_slot_t *slot, const jj_ledger_vm_t *home,
+set_next_epoch(jj_ledger_slot_t *slot, const jj_ledger_vm_t *home,
     const jj_ledger_vm_t *witness)
 {
 	slot->epoch++;
--- a/src/core/ledger_records.c
+++ b/src/core/ledger_records.c
@@ -7,14 +7,14 @@
 
 #include "core/ledger_records.h"
 
-#define BUCKETS_FIRST 1024
+#define INITIAL_BUCKETS 1024
 
 LIST_HEAD(bucket, jj_ledger_entry);
 
 struct jj_ledger_records {
 	jj_ms_t retention_ms;
 	size_t count;
-	size_t answer_bytes; /* kept in all records */
+	size_t answer_bytes; /* sum over all records */
 	size_t bucket_count; /* a power of two */
 	struct bucket *buckets;
 	jj_ledger_entries_t slots[JJ_LEDGER_SLOTS];
@@ -22,7 +22,7 @@
 
 static void drop_answer(jj_ledger_records_t *, jj_ledger_entry_t *);
 static struct bucket *find_bucket(jj_ledger_records_t *, const jj_hash_t *);
-static void grow(jj_ledger_records_t *);
+static void double_buckets(jj_ledger_records_t *);
 static bool
 is_expired(const jj_ledger_records_t *, const jj_ledger_entry_t *, jj_ms_t);
 
@@ -33,8 +33,8 @@
 	size_t i;
 
 	records->retention_ms = retention_ms;
-	records->bucket_count = BUCKETS_FIRST;
-	records->buckets = jj_alloc(BUCKETS_FIRST * sizeof(struct bucket));
+	records->bucket_count = INITIAL_BUCKETS;
+	records->buckets = jj_alloc(INITIAL_BUCKETS * sizeof(struct bucket));
 	for (i = 0; i < JJ_LEDGER_SLOTS; i++)
 		TAILQ_INIT(&records->slots[i]);
 	return records;
@@ -90,7 +90,7 @@
 	jj_ledger_entry_t *entry = jj_alloc(sizeof(*entry));
 
 	if (records->count >= records->bucket_count)
-		grow(records);
+		double_buckets(records);
 	entry->key = *key;
 	entry->slot = jj_ledger_slot(key);
 	LIST_INSERT_HEAD(find_bucket(records, key), entry, bucket_link);
@@ -143,7 +143,7 @@
     jj_ledger_entry_t *entry, const jj_bytes_t *answer)
 {
 	drop_answer(records, entry);
-	if (records->answer_bytes + answer->size > JJ_LEDGER_ANSWERS_MAX)
+	if (records->answer_bytes + answer->size > JJ_LEDGER_ANSWER_BYTES_MAX)
 		return;
 	entry->answer = jj_bytes_copy(answer->data, answer->size);
 	records->answer_bytes += entry->answer.size;
@@ -175,7 +175,7 @@
 }
 
 static void
-grow(jj_ledger_records_t *records)
+double_buckets(jj_ledger_records_t *records)
 {
 	jj_ledger_entry_t *entry;
 	size_t i;
@@ -194,19 +194,20 @@
 }
 
 /*
- * An intent is kept for twice the time: a witness that lost the word of its
- * end must not forget the key before the home does, or a takeover would run
- * it a second time. A call of this VM that has not ended never expires.
+ * An intent is kept for twice the retention time: a witness that did not
+ * receive the outcome must not remove the key before the home does, or a
+ * takeover would run it a second time. A call that still runs on this VM never
+ * expires.
  */
 static bool
 is_expired(const jj_ledger_records_t *records, const jj_ledger_entry_t *entry,
     jj_ms_t now)
 {
-	jj_ms_t kept = records->retention_ms;
+	jj_ms_t keep_ms = records->retention_ms;
 
 	if (entry->run != 0)
 		return false;
 	if (entry->state == JJ_RECORD_INTENT)
-		kept *= 2;
-	return now - entry->since > kept;
+		keep_ms *= 2;
+	return now - entry->since > keep_ms;
 }
--- a/src/core/ledger_records.h
+++ b/src/core/ledger_records.h
@@ -10,12 +10,12 @@
 #include "core/ledger.h"
 
 /**
- * Most bytes of answers kept for replays: a VM's control has 32 MB for all.
- * A record whose answer finds no room is kept without it.
+ * Maximum total bytes of stored answers; the memory budget of a jujubed process
+ * is 32 MB in total. An answer that does not fit is not stored, its record is.
  */
-#define JJ_LEDGER_ANSWERS_MAX ((size_t)8 << 20)
+#define JJ_LEDGER_ANSWER_BYTES_MAX ((size_t)8 << 20)
 
-/** One key's record; plain to read, changed by the ledger only. */
+/** Record of one key; only the ledger may change it. */
 typedef struct jj_ledger_entry {
 	LIST_ENTRY(jj_ledger_entry) bucket_link;
 	TAILQ_ENTRY(jj_ledger_entry) slot_link;
@@ -26,9 +26,9 @@
 	jj_record_state_t state;
 	int32_t status;
 	jj_bytes_t answer;
-	jj_ms_t since; /**< when made, or when ended */
-	uint64_t epoch; /**< the last one in which the home named it */
-	uint64_t run; /**< this VM's own call that has not ended, 0: none */
+	jj_ms_t since; /**< when the record was made, or when the call ended */
+	uint64_t epoch; /**< last epoch in which the home sent this record */
+	uint64_t run; /**< run on this VM that has not ended; 0: none */
 } jj_ledger_entry_t;
 
 typedef TAILQ_HEAD(jj_ledger_entries, jj_ledger_entry) jj_ledger_entries_t;
@@ -53,13 +53,15 @@
 /** Removes the expired records of one slot. */
 void jj_ledger_records_sweep(
     jj_ledger_records_t *records, uint32_t slot, jj_ms_t now);
-/** Fills a message's record; its answer is a copy. */
+/** Writes the record into a message; the answer is copied. */
 void jj_ledger_records_export(
     const jj_ledger_entry_t *entry, jj_ms_t now, jj_record_t *record);
-/** Keeps a copy of an answer when there is room; else the record has none. */
+/**
+ * Stores a copy of the answer; none when JJ_LEDGER_ANSWER_BYTES_MAX is reached.
+ */
 void jj_ledger_records_keep_answer(jj_ledger_records_t *records,
     jj_ledger_entry_t *entry, const jj_bytes_t *answer);
-/** Takes over a message's record; the answer is copied. */
+/** Overwrites the record with one from a message; the answer is copied. */
 void jj_ledger_records_import(jj_ledger_records_t *records,
     jj_ledger_entry_t *entry, const jj_record_t *record, jj_ms_t now);
 
--- a/src/core/ledger_slots.c
+++ b/src/core/ledger_slots.c
@@ -1,10 +1,10 @@
 /**
  * @file ledger_slots.c
- * @brief Reading, writing and adopting the slot table.
+ * @brief Reads, writes and adopts the slot table.
  *
- * A VM acts on the table it has adopted and on nothing else. Whether its own
- * write took effect is learned from the table too: after a conflict or a
- * lost answer it reads again and finds its epoch there or not.
+ * A VM acts only on the table that it has adopted. Whether its own write took
+ * effect also shows in the table: after a conflict or a lost answer it reads
+ * the table again and looks for its epoch.
  */
 #include <inttypes.h>
 #include <stdio.h>
@@ -13,16 +13,16 @@
 #include "core/ledger_state.h"
 
 #define PLATFORM_RETRY_MS 500
-#define PLATFORM_LOST_MS 15000
+#define PLATFORM_TIMEOUT_MS 15000
 #define GOSSIP_MS 2000
 
 static void enter_epoch(
     jj_ledger_t *, uint32_t, const jj_ledger_slot_t *, jj_ms_t, jj_actions_t *);
 static void leave_epoch(jj_ledger_t *, uint32_t, jj_ms_t, jj_actions_t *);
 static void become_home(jj_ledger_t *, uint32_t, jj_ms_t);
-static void adopt_and_tell(
+static void adopt_and_send(
     jj_ledger_t *, const jj_ledger_table_t *, jj_ms_t, jj_actions_t *);
-static void forget_slot(jj_ledger_t *, uint32_t);
+static void remove_records(jj_ledger_t *, uint32_t);
 static void send_read(jj_ledger_t *, jj_ms_t, jj_actions_t *);
 static void
 send_write(jj_ledger_t *, jj_platform_op_t, jj_ms_t, jj_actions_t *);
@@ -30,7 +30,8 @@
 take_read(jj_ledger_t *, const jj_platform_result_t *, jj_ms_t, jj_actions_t *);
 static void take_write(
     jj_ledger_t *, const jj_platform_result_t *, jj_ms_t, jj_actions_t *);
-static void wait_platform(jj_ledger_t *, const jj_platform_result_t *, jj_ms_t);
+static void
+delay_platform(jj_ledger_t *, const jj_platform_result_t *, jj_ms_t);
 
 bool
 jj_ledger_adopt(jj_ledger_t *ledger, const jj_ledger_table_t *table,
@@ -38,7 +39,7 @@
 {
 	uint32_t i;
 
-	/* Late or reordered news of the table must not bring it back. */
+	/* Late or reordered copies must not replace a newer table. */
 	if (table->version <= ledger->table.version)
 		return false;
 	for (i = 0; i < JJ_LEDGER_SLOTS; i++) {
@@ -83,14 +84,14 @@
 void
 jj_ledger_step_platform(jj_ledger_t *ledger, jj_ms_t now, jj_actions_t *out)
 {
-	if (ledger->in_flight && now - ledger->sent_ms > PLATFORM_LOST_MS) {
+	if (ledger->in_flight && now - ledger->sent_ms > PLATFORM_TIMEOUT_MS) {
 		ledger->in_flight = false;
-		ledger->read_wanted = true;
+		ledger->needs_read = true;
 	}
-	if (ledger->in_flight || now < ledger->platform_after ||
+	if (ledger->in_flight || now < ledger->next_platform_ms ||
 	    ledger->started_ms == JJ_MS_NEVER)
 		return;
-	if (ledger->read_wanted) {
+	if (ledger->needs_read) {
 		send_read(ledger, now, out);
 	} else if (ledger->table.version > 0) {
 		if (jj_ledger_plan(ledger, &ledger->proposed, now))
@@ -123,7 +124,7 @@
 	size_t count;
 	size_t i;
 
-	ledger->gossip_after = now + GOSSIP_MS;
+	ledger->next_gossip_ms = now + GOSSIP_MS;
 	if (ledger->table.version == 0)
 		return;
 	infos = jj_alloc(JJ_LEDGER_VMS_MAX * sizeof(*infos));
@@ -145,33 +146,33 @@
 }
 
 /*
- * The failure: a VM takes itself for the holder of a slot's history after an
- * epoch in which others ran calls without it. It shows as a key that runs a
- * second time. Only the step from one epoch to the very next keeps a
- * complete history complete: a home runs calls only after the witness of
- * that epoch was synced, which makes it complete anew.
+ * Guards against a key that runs a second time, because a VM believes that it
+ * has a slot's complete history after an epoch in which others ran calls
+ * without it. A complete history stays complete only from one epoch to the very
+ * next one: a home runs calls only after the witness of that epoch was synced,
+ * which makes the witness's history complete again.
  */
 static void
 enter_epoch(jj_ledger_t *ledger, uint32_t index, const jj_ledger_slot_t *slot,
     jj_ms_t now, jj_actions_t *out)
 {
-	jj_ledger_part_t *part = &ledger->parts[index];
+	jj_ledger_slot_state_t *state = &ledger->slot_states[index];
 	bool next = slot->epoch == ledger->table.slots[index].epoch + 1;
 
 	leave_epoch(ledger, index, now, out);
 	ledger->table.slots[index] = *slot;
-	part->complete = part->complete && next && !slot->unknown;
-	part->synced = false;
-	part->released = false;
-	part->part = 0;
-	part->entered_ms = now;
+	state->complete = state->complete && next && !slot->unknown;
+	state->synced = false;
+	state->released = false;
+	state->sync_part = 0;
+	state->epoch_adopted_ms = now;
 	if (jj_ledger_is_home(ledger, index))
 		become_home(ledger, index, now);
 	else if (!jj_ledger_is_witness(ledger, index))
-		forget_slot(ledger, index);
+		remove_records(ledger, index);
 }
 
-/* Calls that wait for the old epoch's witness will not be run by it. */
+/* The witness of the old epoch no longer acknowledges the waiting calls. */
 static void
 leave_epoch(jj_ledger_t *ledger, uint32_t index, jj_ms_t now, jj_actions_t *out)
 {
@@ -181,29 +182,30 @@
 	for (call = TAILQ_FIRST(&ledger->calls); call != NULL; call = next) {
 		next = TAILQ_NEXT(call, link);
 		if (call->slot == index && !call->running)
-			jj_ledger_give_up(
+			jj_ledger_abandon(
 			    ledger, call, JJ_CALL_NO_HISTORY, now, out);
 	}
-	jj_ledger_sync_end(&ledger->parts[index]);
+	jj_ledger_sync_end(&ledger->slot_states[index]);
 }
 
 /*
- * An intent of an earlier home may have been run: nobody will learn more, so
- * it becomes "unknown" and is never run here. A slot whose history was lost
- * is opened by its new home only, which then trusts no absent key.
+ * An intent of an earlier home may have run, and its outcome cannot be learned
+ * any more: it becomes "unknown" and is never run here. A slot whose history
+ * was lost is opened by its new home only, which then runs no key without a
+ * record.
  */
 static void
 become_home(jj_ledger_t *ledger, uint32_t index, jj_ms_t now)
 {
 	const jj_ledger_slot_t *slot = &ledger->table.slots[index];
-	jj_ledger_part_t *part = &ledger->parts[index];
+	jj_ledger_slot_state_t *state = &ledger->slot_states[index];
 	jj_ledger_entry_t *entry;
 
 	if (slot->unknown) {
-		part->unknown = true;
-		part->complete = true;
+		state->unknown = true;
+		state->complete = true;
 	}
-	part->unknown_since = now;
+	state->unknown_since = now;
 	TAILQ_FOREACH(
 	    entry, jj_ledger_records_slot(ledger->records, index), slot_link)
 	{
@@ -213,20 +215,20 @@
 		entry->since = now;
 	}
 	if (jj_name_is_empty(&slot->witness.name))
-		part->synced = true;
+		state->synced = true;
 	else
 		jj_ledger_sync_begin(ledger, index, now);
 }
 
 static void
-forget_slot(jj_ledger_t *ledger, uint32_t index)
+remove_records(jj_ledger_t *ledger, uint32_t index)
 {
 	jj_ledger_entries_t *entries;
 	jj_ledger_entry_t *entry;
 	jj_ledger_entry_t *next;
 
-	ledger->parts[index].complete = false;
-	ledger->parts[index].unknown = false;
+	ledger->slot_states[index].complete = false;
+	ledger->slot_states[index].unknown = false;
 	entries = jj_ledger_records_slot(ledger->records, index);
 	for (entry = TAILQ_FIRST(entries); entry != NULL; entry = next) {
 		next = TAILQ_NEXT(entry, slot_link);
@@ -275,32 +277,32 @@
 	jj_ledger_table_t table;
 
 	if (result->outcome == JJ_PLATFORM_ABSENT) {
-		ledger->read_wanted = false;
+		ledger->needs_read = false;
 		return;
 	}
 	if (result->outcome != JJ_PLATFORM_OK) {
-		wait_platform(ledger, result, now);
+		delay_platform(ledger, result, now);
 		return;
 	}
 	if (result->version <= ledger->table.version) {
-		ledger->read_wanted = false;
+		ledger->needs_read = false;
 		return;
 	}
 	if (!jj_ledger_table_parse(&result->value, &table)) {
 		jj_actions_add_event(out, "slot_table_invalid",
 		    "version=%" PRIu64, result->version);
-		wait_platform(ledger, result, now);
+		delay_platform(ledger, result, now);
 		return;
 	}
-	ledger->read_wanted = false;
+	ledger->needs_read = false;
 	table.version = result->version;
-	adopt_and_tell(ledger, &table, now, out);
+	adopt_and_send(ledger, &table, now, out);
 }
 
 /*
- * The failure: a write whose answer was lost is held to be failed, or to be
- * done. Two VMs would then be home of one slot. Only an answer "done" or the
- * table itself says that it took effect.
+ * Guards against two homes of one slot, because a write whose answer was lost
+ * is assumed to have failed or to have succeeded. Only a successful answer or
+ * the table itself shows that it took effect.
  */
 static void
 take_write(jj_ledger_t *ledger, const jj_platform_result_t *result, jj_ms_t now,
@@ -309,20 +311,20 @@
 	switch (result->outcome) {
 	case JJ_PLATFORM_OK:
 		ledger->proposed.version = result->version;
-		adopt_and_tell(ledger, &ledger->proposed, now, out);
+		adopt_and_send(ledger, &ledger->proposed, now, out);
 		break;
 	case JJ_PLATFORM_LIMITED:
 	case JJ_PLATFORM_DOWN:
-		wait_platform(ledger, result, now);
+		delay_platform(ledger, result, now);
 		break;
 	default:
-		ledger->read_wanted = true;
+		ledger->needs_read = true;
 		break;
 	}
 }
 
 static void
-adopt_and_tell(jj_ledger_t *ledger, const jj_ledger_table_t *table, jj_ms_t now,
+adopt_and_send(jj_ledger_t *ledger, const jj_ledger_table_t *table, jj_ms_t now,
     jj_actions_t *out)
 {
 	if (!jj_ledger_adopt(ledger, table, now, out))
@@ -332,12 +334,12 @@
 }
 
 static void
-wait_platform(
+delay_platform(
     jj_ledger_t *ledger, const jj_platform_result_t *result, jj_ms_t now)
 {
 	jj_ms_t wait = result->retry_after_ms;
 
 	if (wait < PLATFORM_RETRY_MS)
 		wait = PLATFORM_RETRY_MS;
-	ledger->platform_after = now + wait;
+	ledger->next_platform_ms = now + wait;
 }
--- a/src/core/ledger_sync.c
+++ b/src/core/ledger_sync.c
@@ -1,10 +1,10 @@
 /**
  * @file ledger_sync.c
- * @brief A home fills its new witness with the slot's records, part by part.
+ * @brief A home sends the slot's records to its new witness, part by part.
  *
- * The keys are fixed when the transfer begins; the home does not begin calls
- * until it has ended, so no key is missed. Each part is sent until it is
- * confirmed; a part that comes twice changes nothing.
+ * The list of keys is fixed when the transfer begins; the home starts no calls
+ * until it has ended, so no key is missed. Each part is resent until it is
+ * confirmed; a repeated part changes nothing.
  */
 #include <stdlib.h>
 
@@ -13,35 +13,35 @@
 #define SYNC_RETRY_MS 500
 
 static void send_part(jj_ledger_t *, uint32_t, jj_ms_t, jj_actions_t *);
-static uint32_t part_count(const jj_ledger_part_t *);
+static uint32_t part_count(const jj_ledger_slot_state_t *);
 static void take_record(jj_ledger_t *, uint32_t, const jj_record_t *, jj_ms_t);
 static void end_transfer(jj_ledger_t *, const jj_sync_t *, jj_ms_t);
 
 void
 jj_ledger_sync_begin(jj_ledger_t *ledger, uint32_t slot, jj_ms_t now)
 {
-	jj_ledger_part_t *part = &ledger->parts[slot];
+	jj_ledger_slot_state_t *state = &ledger->slot_states[slot];
 	jj_ledger_entries_t *entries;
 	const jj_ledger_entry_t *entry;
 	size_t count = 0;
 
-	jj_ledger_sync_end(part);
+	jj_ledger_sync_end(state);
 	entries = jj_ledger_records_slot(ledger->records, slot);
 	TAILQ_FOREACH(entry, entries, slot_link)
 	count++;
-	part->sync_keys = jj_alloc(count * sizeof(jj_hash_t));
+	state->sync_keys = jj_alloc(count * sizeof(jj_hash_t));
 	TAILQ_FOREACH(entry, entries, slot_link)
-	part->sync_keys[part->sync_count++] = entry->key;
-	part->part = 0;
-	part->sync_due = now;
+	state->sync_keys[state->sync_count++] = entry->key;
+	state->sync_part = 0;
+	state->sync_due = now;
 }
 
 void
-jj_ledger_sync_end(jj_ledger_part_t *part)
+jj_ledger_sync_end(jj_ledger_slot_state_t *state)
 {
-	free(part->sync_keys);
-	part->sync_keys = NULL;
-	part->sync_count = 0;
+	free(state->sync_keys);
+	state->sync_keys = NULL;
+	state->sync_count = 0;
 }
 
 void
@@ -50,8 +50,8 @@
 	uint32_t i;
 
 	for (i = 0; i < JJ_LEDGER_SLOTS; i++) {
-		if (ledger->parts[i].sync_keys != NULL &&
-		    now >= ledger->parts[i].sync_due)
+		if (ledger->slot_states[i].sync_keys != NULL &&
+		    now >= ledger->slot_states[i].sync_due)
 			send_part(ledger, i, now, out);
 	}
 }
@@ -62,26 +62,26 @@
 {
 	const jj_sync_t *sync = &message->body.sync;
 	const jj_ledger_slot_t *slot;
-	jj_ledger_part_t *part;
+	jj_ledger_slot_state_t *state;
 	jj_message_t *reply;
 	uint32_t i;
 
 	if (sync->slot >= JJ_LEDGER_SLOTS)
 		return;
 	slot = &ledger->table.slots[sync->slot];
-	part = &ledger->parts[sync->slot];
+	state = &ledger->slot_states[sync->slot];
 	if (sync->epoch > slot->epoch)
-		ledger->read_wanted = true;
+		ledger->needs_read = true;
 	if (sync->epoch != slot->epoch ||
 	    !jj_ledger_is_witness(ledger, sync->slot) ||
 	    !jj_ledger_is_from(&slot->home, message))
 		return;
-	if (sync->part > part->part)
+	if (sync->part > state->sync_part)
 		return;
-	if (sync->part == part->part && !part->synced) {
+	if (sync->part == state->sync_part && !state->synced) {
 		for (i = 0; i < sync->record_count; i++)
 			take_record(ledger, sync->slot, &sync->records[i], now);
-		part->part++;
+		state->sync_part++;
 		if (sync->last)
 			end_transfer(ledger, sync, now);
 	}
@@ -98,33 +98,33 @@
 {
 	const jj_sync_ack_t *ack = &message->body.sync_ack;
 	const jj_ledger_slot_t *slot;
-	jj_ledger_part_t *part;
+	jj_ledger_slot_state_t *state;
 
 	if (ack->slot >= JJ_LEDGER_SLOTS)
 		return;
 	slot = &ledger->table.slots[ack->slot];
-	part = &ledger->parts[ack->slot];
+	state = &ledger->slot_states[ack->slot];
 	if (ack->epoch != slot->epoch ||
 	    !jj_ledger_is_home(ledger, ack->slot) ||
 	    !jj_ledger_is_from(&slot->witness, message) ||
-	    part->sync_keys == NULL || ack->part != part->part)
+	    state->sync_keys == NULL || ack->part != state->sync_part)
 		return;
-	part->part++;
-	if (part->part < part_count(part)) {
+	state->sync_part++;
+	if (state->sync_part < part_count(state)) {
 		send_part(ledger, ack->slot, now, out);
 		return;
 	}
-	jj_ledger_sync_end(part);
-	part->synced = true;
+	jj_ledger_sync_end(state);
+	state->synced = true;
 }
 
 static void
 send_part(jj_ledger_t *ledger, uint32_t slot, jj_ms_t now, jj_actions_t *out)
 {
-	jj_ledger_part_t *part = &ledger->parts[slot];
+	jj_ledger_slot_state_t *state = &ledger->slot_states[slot];
 	const jj_ledger_entry_t *entry;
 	jj_sync_t *sync;
-	size_t first = (size_t)part->part * JJ_MESSAGE_RECORDS_MAX;
+	size_t first = (size_t)state->sync_part * JJ_MESSAGE_RECORDS_MAX;
 	size_t i;
 
 	sync = &jj_actions_add_message(
@@ -132,35 +132,35 @@
 		    ->body.sync;
 	sync->slot = slot;
 	sync->epoch = ledger->table.slots[slot].epoch;
-	sync->part = part->part;
-	sync->last = part->part + 1 == part_count(part);
-	sync->history_unknown = part->unknown;
-	sync->unknown_age_ms = part->unknown ? now - part->unknown_since : 0;
+	sync->part = state->sync_part;
+	sync->last = state->sync_part + 1 == part_count(state);
+	sync->history_unknown = state->unknown;
+	sync->unknown_age_ms = state->unknown ? now - state->unknown_since : 0;
 	sync->records = jj_alloc(JJ_MESSAGE_RECORDS_MAX * sizeof(jj_record_t));
-	for (i = first; i < part->sync_count; i++) {
+	for (i = first; i < state->sync_count; i++) {
 		if (i == first + JJ_MESSAGE_RECORDS_MAX)
 			break;
 		entry = jj_ledger_records_find(
-		    ledger->records, &part->sync_keys[i], now);
+		    ledger->records, &state->sync_keys[i], now);
 		if (entry != NULL)
 			jj_ledger_records_export(
 			    entry, now, &sync->records[sync->record_count++]);
 	}
-	part->sync_due = now + SYNC_RETRY_MS;
+	state->sync_due = now + SYNC_RETRY_MS;
 }
 
 static uint32_t
-part_count(const jj_ledger_part_t *part)
+part_count(const jj_ledger_slot_state_t *state)
 {
-	size_t count = (part->sync_count + JJ_MESSAGE_RECORDS_MAX - 1) /
+	size_t count = (state->sync_count + JJ_MESSAGE_RECORDS_MAX - 1) /
 	    JJ_MESSAGE_RECORDS_MAX;
 
 	return count == 0 ? 1 : (uint32_t)count;
 }
 
 /*
- * A late part may be older than what is known here: the end of a call is
- * never undone by it, and a call that this VM itself still runs stays.
+ * A late part may be older than the records here: it never overwrites the
+ * outcome of a call, nor a call that still runs on this VM.
  */
 static void
 take_record(
@@ -181,13 +181,14 @@
 }
 
 /*
- * The home has named all it holds: an intent that it did not name was never
- * run, an "unknown" has expired. Not so when its own history was lost.
+ * The home has sent all its records: an intent that was not among them never
+ * ran, an "unknown" has expired. This does not hold when the home's own history
+ * was lost.
  */
 static void
 end_transfer(jj_ledger_t *ledger, const jj_sync_t *sync, jj_ms_t now)
 {
-	jj_ledger_part_t *part = &ledger->parts[sync->slot];
+	jj_ledger_slot_state_t *state = &ledger->slot_states[sync->slot];
 	jj_ledger_entries_t *entries;
 	jj_ledger_entry_t *entry;
 	jj_ledger_entry_t *next;
@@ -200,8 +201,8 @@
 		    entry->state != JJ_RECORD_DONE)
 			jj_ledger_records_remove(ledger->records, entry);
 	}
-	part->synced = true;
-	part->complete = true;
-	part->unknown = sync->history_unknown;
-	part->unknown_since = now - sync->unknown_age_ms;
+	state->synced = true;
+	state->complete = true;
+	state->unknown = sync->history_unknown;
+	state->unknown_since = now - sync->unknown_age_ms;
 }
--- a/src/core/ledger_table.c
+++ b/src/core/ledger_table.c
@@ -1,8 +1,8 @@
 /**
  * @file ledger_table.c
- * @brief JSON of the slot table.
+ * @brief JSON encoding of the slot table.
  *
- * Incarnations and operations are 64-bit numbers, which JSON readers round;
+ * Incarnations and operations are 64-bit numbers, which JSON parsers may round;
  * they are stored as hexadecimal text.
  */
 #include <inttypes.h>
--- a/src/core/ledger_table.h
+++ b/src/core/ledger_table.h
@@ -7,33 +7,34 @@
 
 #include "core/ledger.h"
 
-/** One process of one VM. */
+/** One process on a VM. */
 typedef struct {
-	jj_name_t name; /**< empty: nobody */
+	jj_name_t name; /**< empty: no VM */
 	jj_incarnation_t incarnation;
 } jj_ledger_vm_t;
 
 typedef struct {
 	uint64_t epoch; /**< rises by one with each change of the slot */
 	jj_ledger_vm_t home;
-	jj_ledger_vm_t witness; /**< empty name: the home is alone */
-	bool unknown; /**< this epoch was opened without earlier history */
+	jj_ledger_vm_t witness; /**< empty name: the home has no witness */
+	bool unknown; /**< this epoch was opened without the earlier history */
 } jj_ledger_slot_t;
 
 typedef struct {
-	uint64_t version; /**< the platform's, 0: no table known */
-	jj_name_t writer; /**< who wrote this version */
-	uint64_t operation; /**< the writer's number for that write */
+	/** platform version of the object; 0: no table known */
+	uint64_t version;
+	jj_name_t writer; /**< VM that wrote this version */
+	uint64_t operation; /**< operation number of that write */
 	jj_ledger_slot_t slots[JJ_LEDGER_SLOTS];
 } jj_ledger_table_t;
 
 /**
  * Reads the stored form (JSON).
- * @return false when it is not a whole, valid table; then @p table is
+ * @return false unless it is a complete and valid table; then @p table is
  * undefined. The version is not part of the stored form.
  */
 bool jj_ledger_table_parse(const jj_bytes_t *stored, jj_ledger_table_t *table);
-/** The stored form, to be freed by the caller. */
+/** The stored form (JSON), to be freed by the caller. */
 jj_bytes_t jj_ledger_table_print(const jj_ledger_table_t *table);
 
 #endif
--- a/tests/core/ledger_model_test.cc
+++ b/tests/core/ledger_model_test.cc
@@ -110,7 +110,7 @@
 	{
 		jj_actions_t out = TAILQ_HEAD_INITIALIZER(out);
 
-		vms[i]->ledger->read_wanted = false;
+		vms[i]->ledger->needs_read = false;
 		jj_ledger_adopt(vms[i]->ledger, &table, now, &out);
 		Carry(i, &out);
 		Tick(i);
@@ -312,7 +312,7 @@
 		     << open.size() << '|' << refused.size() << '|';
 		for (auto &vm : vms) {
 			jj_ledger_t *ledger = vm->ledger;
-			const auto &part = ledger->parts[KEY];
+			const auto &state = ledger->slot_states[KEY];
 			const auto &slot = ledger->table.slots[KEY];
 			jj_hash_t key = {KEY, KEY + 1};
 			const auto *entry =
@@ -320,10 +320,10 @@
 
 			text << ledger->table.version << slot.epoch
 			     << slot.home.name.text << slot.witness.name.text
-			     << part.complete << part.synced << part.unknown
-			     << part.part << ledger->in_flight << ledger->op
-			     << ledger->read_wanted << replaced[vm->index]
-			     << ledger->next_attempt
+			     << state.complete << state.synced << state.unknown
+			     << state.sync_part << ledger->in_flight
+			     << ledger->op << ledger->needs_read
+			     << replaced[vm->index] << ledger->next_attempt
 			     << ledger->proposed.slots[KEY].epoch
 			     << ledger->proposed.slots[KEY].home.name.text;
 			if (entry != nullptr)
--- a/tests/core/ledger_records_test.cc
+++ b/tests/core/ledger_records_test.cc
@@ -19,7 +19,7 @@
 TEST(LedgerRecordsFailure, AnswersAreBoundedRecordsAreNot)
 {
 	const size_t size = 8192;
-	const size_t fit = JJ_LEDGER_ANSWERS_MAX / size;
+	const size_t fit = JJ_LEDGER_ANSWER_BYTES_MAX / size;
 	jj_ledger_records_t *records = jj_ledger_records_create(1000);
 	std::string text(size, 'x');
 	jj_bytes_t answer = {text.data(), text.size()};
