--- a/src/core/action.c
+++ b/src/core/action.c
@@ -1,6 +1,6 @@
 /**
  * @file action.c
- * @brief Lists of actions, and freeing what actions and messages own.
+ * @brief Lists of actions; frees the data of actions and messages.
  */
 #include <stdarg.h>
 #include <stdio.h>
--- a/src/core/action.h
+++ b/src/core/action.h
@@ -1,9 +1,9 @@
 /**
  * @file action.h
- * @brief What the core asks its adapters to do.
+ * @brief Actions that the core returns for its adapters to carry out.
  *
- * A step of the core turns one event into a list of actions. The caller
- * carries them out in order and frees the list.
+ * The core turns each event into a list of actions. The caller carries them out
+ * in order and frees the list.
  */
 #ifndef JJ_CORE_ACTION_H
 #define JJ_CORE_ACTION_H
@@ -23,40 +23,44 @@
 	JJ_ACTION_CALL_ANSWER, /**< the outcome of a non-idempotent call */
 	JJ_ACTION_CONFIG_ANSWER, /**< the outcome of a patch */
 	JJ_ACTION_CONFIG_ADOPTED, /**< a newer configuration is in force */
-	JJ_ACTION_ITEM_READY, /**< a batch item wants a server */
-	JJ_ACTION_CALL_READY, /**< a non-idempotent call to be run once */
-	JJ_ACTION_ITEM_CANCEL, /**< a batch item shall stop */
+	/** a batch item is ready to be sent to a server */
+	JJ_ACTION_ITEM_READY,
+	/** a non-idempotent call is ready to run, at most once */
+	JJ_ACTION_CALL_READY,
+	JJ_ACTION_ITEM_CANCEL, /**< stop a batch item */
 	JJ_ACTION_JOB_ANSWER, /**< the outcome of a job operation */
 	JJ_ACTION_ORDER, /**< an order to a model engine */
 	JJ_ACTION_JOB_CHANGED, /**< an object below `jobs/` changed */
-	JJ_ACTION_VM_LOST, /**< a VM's process is held for dead */
-	JJ_ACTION_EVENT, /**< something worth a log line and a count */
+	JJ_ACTION_VM_LOST, /**< a VM's process counts as lost */
+	JJ_ACTION_EVENT, /**< an event to log and count */
 } jj_action_kind_t;
 
-/** Where a request goes. */
+/** The backend server that a request is sent to. */
 typedef struct {
 	uint64_t request;
-	uint32_t attempt; /**< rises by one each time it is sent */
+	/** number of this attempt; increases with each one */
+	uint32_t attempt;
 	jj_name_t server;
-	uint32_t resume_from; /**< not 0: goes on with its stream there */
+	uint32_t resume_from; /**< not 0: resume its stream from this event */
 } jj_backend_start_t;
 
 /** Why a request ends without a backend server's answer. */
 typedef enum {
 	JJ_GIVE_UP_NONE,
-	JJ_GIVE_UP_NO_SERVER, /**< none up for this service here */
-	JJ_GIVE_UP_OVERLOADED, /**< queue full or wait too long */
+	JJ_GIVE_UP_NO_SERVER, /**< no server for the service is up here */
+	JJ_GIVE_UP_OVERLOADED, /**< queue full, or waited too long */
 	JJ_GIVE_UP_DEADLINE, /**< cannot be met, or has passed */
-	JJ_GIVE_UP_RETRIES, /**< attempts or retry budget used up */
+	JJ_GIVE_UP_RETRIES, /**< attempts or retry budget exhausted */
 	JJ_GIVE_UP_QUARANTINED, /**< it crashes backend servers */
-	JJ_GIVE_UP_BROKEN, /**< the server failed in mid answer */
+	JJ_GIVE_UP_BROKEN, /**< the server failed in the middle of its answer */
 	JJ_GIVE_UP_STOPPING, /**< this VM is leaving */
-	JJ_GIVE_UP_NO_CONFIG, /**< none known yet, or not the newest one */
+	/** no configuration yet, or a newer one exists */
+	JJ_GIVE_UP_NO_CONFIG,
 	JJ_GIVE_UP_CANCELLED,
 	JJ_GIVE_UP_NO_SERVICE, /**< the configuration has no such service */
 } jj_give_up_t;
 
-/** What a final answer says about the run. */
+/** Whether a request was run, as its final answer states it. */
 typedef enum {
 	JJ_RUN_NOT_RUN, /**< no byte can have reached a backend server */
 	JJ_RUN_UNKNOWN,
@@ -67,7 +71,7 @@
 	uint64_t request;
 	jj_give_up_t reason;
 	jj_run_t run;
-	jj_ms_t retry_after_ms; /**< 0: do not ask again */
+	jj_ms_t retry_after_ms; /**< 0: do not retry */
 } jj_answer_t;
 
 /** One action; `body` by kind. */
@@ -87,29 +91,33 @@
 		} cancel;
 		jj_answer_t answer;
 		struct {
-			uint64_t call; /**< number given at the begin */
+			/** operation number passed to the begin */
+			uint64_t call;
 			jj_call_answer_t answer;
 		} call;
 		struct {
 			uint64_t operation;
 			int status; /**< HTTP: 200, 409, 412, 422, 503 */
-			uint64_t version; /**< in force, or current */
-			jj_bytes_t detail; /**< plain words for the operator */
+			/** adopted version, or the current one */
+			uint64_t version;
+			jj_bytes_t detail; /**< explanation for the operator */
 			jj_ms_t retry_after_ms;
 		} config;
 		struct {
 			uint64_t version;
 		} adopted;
 		struct {
-			uint64_t item; /**< node-wide number of this run */
+			/** number of this run, unique on this VM */
+			uint64_t item;
 			jj_name_t service;
 			jj_name_t team;
 			uint64_t fingerprint;
 			bool idempotent;
-			jj_ms_t due_ms; /**< the job's due time, own clock */
+			/** due time of the job on this VM's clock */
+			jj_ms_t due_ms;
 			jj_bytes_t body; /**< request body */
 			jj_bytes_t path;
-			/** of a call: the caller's key and traceparent */
+			/** for a call: the caller's key and traceparent */
 			char key[JJ_IDEMPOTENCY_KEY_MAX + 1];
 			char trace[56];
 		} item;
@@ -142,7 +150,7 @@
 
 typedef TAILQ_HEAD(jj_action_list, jj_action) jj_actions_t;
 
-/** The reason in one word, for log lines. */
+/** Short name of the reason, for log lines. */
 const char *jj_give_up_name(jj_give_up_t reason);
 /** Appends an action of a kind, zeroed, to be filled in. */
 jj_action_t *jj_actions_add(jj_actions_t *actions, jj_action_kind_t kind);
@@ -152,7 +160,7 @@
 /** Appends a platform call of an owner and returns it to be filled in. */
 jj_platform_call_t *jj_actions_add_platform(jj_actions_t *actions,
     jj_owner_t owner, jj_platform_op_t op, uint64_t token);
-/** Appends a log event with printf-like further pairs. */
+/** Appends a log event; the format makes further key=value pairs. */
 void jj_actions_add_event(jj_actions_t *actions, const char *name,
     const char *format, ...) __attribute__((format(printf, 3, 4)));
 /** Frees one action that was taken off its list. */
--- a/src/core/config.c
+++ b/src/core/config.c
@@ -1,6 +1,6 @@
 /**
  * @file config.c
- * @brief The configuration in force: adoption and look-up.
+ * @brief Adopts configurations and looks up services and teams.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -8,9 +8,11 @@
 
 #include "core/config_state.h"
 
-/* Defaults of a service's optional fields: a long generation still ends, a
- * caller that names no deadline waits two attempts, a failed attempt has two
- * more chances, and batch and online are weighed alike. */
+/*
+ * Defaults of a service's optional fields: enough time for a long generation to
+ * end, two attempts for a caller that sets no deadline, two more attempts after
+ * a failed one, and equal weight for batch and online.
+ */
 #define TIMEOUT_DEFAULT_MS 30000
 #define DEADLINE_DEFAULT_MS 60000
 #define ATTEMPTS_DEFAULT 3
@@ -106,11 +108,13 @@
 	    json_integer_value(json_object_get(stored, "version"));
 	bool adopted = false;
 
-	/* Watch events and neighbours' copies come late, twice and out of
-	 * order, and a VM that was frozen still offers what it had: taken as
-	 * they come, an accepted patch would be reverted for a while. Only a
-	 * greater number is adopted, and numbers are given out by one
-	 * conditional update chain at the platform. */
+	/*
+	 * Watch events and copies of neighbours arrive late, twice and out of
+	 * order, and a VM that was paused still sends its old version: adopting
+	 * each as it comes would revert an accepted patch for a while. Only a
+	 * greater number is adopted; the numbers come from one chain of
+	 * conditional updates at the platform.
+	 */
 	if (number <= 0 || (uint64_t)number <= config->version)
 		goto out;
 	if (!jj_config_check(document, why, sizeof(why))) {
@@ -228,19 +232,19 @@
 }
 
 static json_int_t
-read_integer(const json_t *json, const char *field, json_int_t absent)
+read_integer(const json_t *json, const char *field, json_int_t default_value)
 {
 	const json_t *value = json_object_get(json, field);
 
-	return value != NULL ? json_integer_value(value) : absent;
+	return value != NULL ? json_integer_value(value) : default_value;
 }
 
 static double
-read_number(const json_t *json, const char *field, double absent)
+read_number(const json_t *json, const char *field, double default_value)
 {
 	const json_t *value = json_object_get(json, field);
 
-	return value != NULL ? json_number_value(value) : absent;
+	return value != NULL ? json_number_value(value) : default_value;
 }
 
 static void
--- a/src/core/config_check.c
+++ b/src/core/config_check.c
@@ -8,25 +8,27 @@
 
 #include "core/config.h"
 
-/* An attempt shorter than this ends before a healthy server can answer; one
- * longer than an hour holds its slot for a caller that is long gone. */
+/*
+ * A shorter attempt ends before a healthy server can answer; one longer than an
+ * hour holds its slot for a caller that has long disconnected.
+ */
 #define TIMEOUT_MIN_MS 10
-#define TIMEOUT_MOST_MS 3600000
-/* A day: nobody waits online for longer, and sums cannot overflow. */
-#define DEADLINE_MOST_MS 86400000
-/* More attempts than this only feed a retry storm. */
-#define ATTEMPTS_MOST 10
-/* A queue beyond this holds more than minutes of work of any VM. */
-#define QUEUE_MOST 100000
-/* Greater than the batch of any engine known. */
-#define SLOTS_MOST 4096
-/* As many as jj_service_t has room for. */
-#define KEY_DOMAINS_MOST 8
-/* Shares are ratios; wider ones starve the others altogether. */
+#define TIMEOUT_MAX_MS 3600000
+/* One day: no online caller waits longer, and sums cannot overflow. */
+#define DEADLINE_MAX_MS 86400000
+/* More attempts only feed a retry storm. */
+#define ATTEMPTS_MAX 10
+/* A longer queue holds more than minutes of work of any VM. */
+#define QUEUE_MAX 100000
+/* Greater than the batch size of any known engine. */
+#define SLOTS_MAX 4096
+/* Size of the array in jj_service_t. */
+#define KEY_DOMAINS_MAX 8
+/* Weights are ratios; a wider range lets one team starve the others. */
 #define WEIGHT_MIN 0.001
-#define WEIGHT_MOST 1000.0
-/* Greater than what one VM can hold in memory. */
-#define IN_FLIGHT_MOST 1000000
+#define WEIGHT_MAX 1000.0
+/* Greater than what fits into the memory of one VM. */
+#define IN_FLIGHT_MAX 1000000
 
 typedef enum {
 	FIELD_KIND,
@@ -42,11 +44,11 @@
 	const char *name;
 	field_type_t type;
 	bool required;
-	double least;
-	double most;
+	double min;
+	double max;
 } field_t;
 
-/** Where a fault is told, and the path of the object that is checked. */
+/** Output of an error message, and the path of the checked object. */
 typedef struct {
 	const char *path;
 	char *why;
@@ -56,20 +58,20 @@
 static const field_t SERVICE_FIELDS[] = {
     {"kind", FIELD_KIND, true, 0, 0},
     {"idempotent", FIELD_BOOLEAN, true, 0, 0},
-    {"timeout_ms", FIELD_INTEGER, false, TIMEOUT_MIN_MS, TIMEOUT_MOST_MS},
-    {"deadline_ms", FIELD_INTEGER, false, TIMEOUT_MIN_MS, DEADLINE_MOST_MS},
-    {"attempts", FIELD_INTEGER, false, 1, ATTEMPTS_MOST},
+    {"timeout_ms", FIELD_INTEGER, false, TIMEOUT_MIN_MS, TIMEOUT_MAX_MS},
+    {"deadline_ms", FIELD_INTEGER, false, TIMEOUT_MIN_MS, DEADLINE_MAX_MS},
+    {"attempts", FIELD_INTEGER, false, 1, ATTEMPTS_MAX},
     {"trade", FIELD_NUMBER, false, 0, 1},
-    {"queue_limit", FIELD_INTEGER, false, 0, QUEUE_MOST},
-    {"server_slots", FIELD_INTEGER, false, 1, SLOTS_MOST},
-    {"key_domains", FIELD_DOMAINS, false, 0, KEY_DOMAINS_MOST},
+    {"queue_limit", FIELD_INTEGER, false, 0, QUEUE_MAX},
+    {"server_slots", FIELD_INTEGER, false, 1, SLOTS_MAX},
+    {"key_domains", FIELD_DOMAINS, false, 0, KEY_DOMAINS_MAX},
     {"model_wish", FIELD_WISH, false, 0, 0},
     {NULL, FIELD_KIND, false, 0, 0},
 };
 
 static const field_t TEAM_FIELDS[] = {
-    {"weight", FIELD_NUMBER, false, WEIGHT_MIN, WEIGHT_MOST},
-    {"in_flight", FIELD_INTEGER, false, 0, IN_FLIGHT_MOST},
+    {"weight", FIELD_NUMBER, false, WEIGHT_MIN, WEIGHT_MAX},
+    {"in_flight", FIELD_INTEGER, false, 0, IN_FLIGHT_MAX},
     {NULL, FIELD_KIND, false, 0, 0},
 };
 
@@ -163,7 +165,7 @@
 	    "is no field of this object; known are %s", known);
 }
 
-/* A map from names to objects of one kind. */
+/* Checks a map from names to objects of one kind. */
 static bool
 check_map(const json_t *map, const char *kind, const field_t *fields,
     report_t *report)
@@ -265,15 +267,15 @@
 static bool
 check_number(const json_t *value, const field_t *field, report_t *report)
 {
-	bool typed = field->type == FIELD_INTEGER ? json_is_integer(value)
-						  : json_is_number(value);
+	bool has_type = field->type == FIELD_INTEGER ? json_is_integer(value)
+						     : json_is_number(value);
 	double number = json_number_value(value);
 
-	if (typed && number >= field->least && number <= field->most)
+	if (has_type && number >= field->min && number <= field->max)
 		return true;
 	return fail(report, field->name, value, "must be %s from %g to %.10g",
 	    field->type == FIELD_INTEGER ? "an integer" : "a number",
-	    field->least, field->most);
+	    field->min, field->max);
 }
 
 static bool
@@ -282,10 +284,10 @@
 	size_t i;
 	size_t j;
 
-	if (!json_is_array(value) || json_array_size(value) > KEY_DOMAINS_MOST)
+	if (!json_is_array(value) || json_array_size(value) > KEY_DOMAINS_MAX)
 		return fail(report, "key_domains", value,
 		    "must be a list of at most %d failure domains",
-		    KEY_DOMAINS_MOST);
+		    KEY_DOMAINS_MAX);
 	for (i = 0; i < json_array_size(value); i++) {
 		const json_t *domain = json_array_get(value, i);
 
@@ -327,7 +329,7 @@
 fail(report_t *report, const char *field, const json_t *value,
     const char *bound, ...)
 {
-	char shown[64] = "absent";
+	char value_text[64] = "absent";
 	char rule[160];
 	size_t size;
 	va_list arguments;
@@ -336,16 +338,16 @@
 	(void)vsnprintf(rule, sizeof(rule), bound, arguments);
 	va_end(arguments);
 	if (value != NULL) {
-		size = json_dumpb(value, shown, sizeof(shown) - 1,
+		size = json_dumpb(value, value_text, sizeof(value_text) - 1,
 		    JSON_ENCODE_ANY | JSON_COMPACT);
-		if (size < sizeof(shown))
-			shown[size] = '\0';
+		if (size < sizeof(value_text))
+			value_text[size] = '\0';
 		else
-			(void)snprintf(
-			    shown, sizeof(shown), "(%zu bytes)", size);
+			(void)snprintf(value_text, sizeof(value_text),
+			    "(%zu bytes)", size);
 	}
 	(void)snprintf(report->why, report->why_size, "%s%s%s = %s %s",
 	    report->path, field != NULL ? "." : "", field != NULL ? field : "",
-	    shown, rule);
+	    value_text, rule);
 	return false;
 }
--- a/src/core/config_patch.c
+++ b/src/core/config_patch.c
@@ -1,11 +1,11 @@
 /**
  * @file config_patch.c
- * @brief Patches on their way: read, record, commit, and recognise.
+ * @brief Applies patches: read, record, commit, and detection of repeats.
  *
- * Each patch reads `config/current`, creates its history record and commits
- * by one conditional write. Its operation is a hash of the caller's key, the
- * base version and the patch, kept in the stored object's `recent`, so that
- * a resend through any VM meets its own earlier success.
+ * Each patch reads `config/current`, creates its history record and commits by
+ * one conditional write. Its operation id is a hash of the caller's key, the
+ * base version and the patch, and is kept in the stored object's `recent`, so
+ * that a resend through any VM finds that it was applied already.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -15,14 +15,16 @@
 #include "core/json_merge.h"
 #include "core/operation.h"
 
-/** Operations kept in the stored object. */
-#define RECENT_MOST 16
-/** Waits between repeats of a failed call, doubling. */
-#define RETRY_FIRST_MS 100
-#define RETRY_MOST_MS 1000
-/** When a patch that was given up on may be sent again. */
+/** Maximum operations kept in the stored object. */
+#define RECENT_MAX 16
+/** Delay between retries of a failed call; doubles up to the maximum. */
+#define RETRY_DELAY_MIN_MS 100
+#define RETRY_DELAY_MAX_MS 1000
+/** Retry-after time sent when a patch is abandoned. */
 #define RETRY_AFTER_MS 2000
-/** Room for operations, writer and the rest beside the document. */
+/**
+ * Bytes reserved for operations, writer and other fields beside the document.
+ */
 #define OVERHEAD_BYTES 8192
 
 typedef enum {
@@ -33,29 +35,29 @@
 
 struct jj_config_patch {
 	TAILQ_ENTRY(jj_config_patch) link;
-	uint64_t number; /**< token of its calls */
+	uint64_t number; /**< token of its platform calls */
 	uint64_t operation;
 	char operation_text[JJ_OPERATION_TEXT];
 	char operator_name[JJ_NAME_MAX + 1];
 	uint64_t base_version;
 	jj_bytes_t patch;
 	step_t step;
-	bool under_way; /**< a call has no result yet */
-	bool unknown; /**< a commit got no answer */
-	jj_ms_t begun_ms;
-	jj_ms_t retry_ms; /**< when the step is tried again */
-	jj_ms_t wait_ms; /**< before the next repeat */
-	bool exists; /**< `config/current` does */
-	uint64_t expected; /**< its object version */
+	bool in_flight; /**< a platform call has no result yet */
+	bool unknown; /**< a commit got no answer: it may have been applied */
+	jj_ms_t started_ms;
+	jj_ms_t retry_ms; /**< when the step is retried */
+	jj_ms_t retry_delay_ms; /**< delay before the next retry */
+	bool exists; /**< `config/current` exists */
+	uint64_t expected; /**< its platform version */
 	jj_bytes_t object; /**< to be committed */
-	jj_bytes_t record; /**< its history */
+	jj_bytes_t record; /**< its history record */
 };
 
 static void copy_printable(char *, size_t, const char *);
-static void call_step(jj_config_patch_t *, jj_actions_t *);
+static void send_step(jj_config_patch_t *, jj_actions_t *);
 static void set_step(jj_config_patch_t *, step_t, jj_actions_t *);
 static void
-plan_retry(jj_config_patch_t *, const jj_platform_result_t *, jj_ms_t);
+schedule_retry(jj_config_patch_t *, const jj_platform_result_t *, jj_ms_t);
 static void take_read(jj_config_t *, jj_config_patch_t *,
     const jj_platform_result_t *, jj_actions_t *);
 static void take_record(
@@ -73,7 +75,7 @@
     const char *, jj_actions_t *);
 static void free_patch(jj_config_t *, jj_config_patch_t *);
 static jj_config_patch_t *find_patch(const jj_config_t *, uint64_t);
-static void give_up(jj_config_t *, jj_config_patch_t *, jj_actions_t *);
+static void abandon(jj_config_t *, jj_config_patch_t *, jj_actions_t *);
 
 void
 jj_config_patch(jj_config_t *config, uint64_t operation, uint64_t operation_key,
@@ -81,21 +83,23 @@
     jj_ms_t now, jj_actions_t *out)
 {
 	jj_config_patch_t *pending = jj_alloc(sizeof(*pending));
-	uint64_t own;
-
-	/* The same key with another patch or base is another operation: it
-	 * must not be told that it was applied. */
-	own = jj_hash_bytes(patch->data, patch->size, operation_key);
-	own = jj_hash_bytes(&base_version, sizeof(base_version), own);
-	jj_operation_write(pending->operation_text, own);
+	uint64_t id;
+
+	/*
+	 * The same key with another patch or base is a different operation: it
+	 * must not be answered as already applied.
+	 */
+	id = jj_hash_bytes(patch->data, patch->size, operation_key);
+	id = jj_hash_bytes(&base_version, sizeof(base_version), id);
+	jj_operation_write(pending->operation_text, id);
 	pending->number = ++config->patch_count;
 	pending->operation = operation;
 	copy_printable(pending->operator_name, sizeof(pending->operator_name),
 	    operator_name);
 	pending->base_version = base_version;
 	pending->patch = jj_bytes_copy(patch->data, patch->size);
-	pending->begun_ms = now;
-	pending->wait_ms = RETRY_FIRST_MS;
+	pending->started_ms = now;
+	pending->retry_delay_ms = RETRY_DELAY_MIN_MS;
 	TAILQ_INSERT_TAIL(&config->patches, pending, link);
 	set_step(pending, STEP_READ, out);
 }
@@ -109,10 +113,10 @@
 	for (patch = TAILQ_FIRST(&config->patches); patch != NULL;
 	     patch = next) {
 		next = TAILQ_NEXT(patch, link);
-		if (now - patch->begun_ms >= config->settings.call_timeout_ms)
-			give_up(config, patch, out);
-		else if (!patch->under_way && now >= patch->retry_ms)
-			call_step(patch, out);
+		if (now - patch->started_ms >= config->settings.call_timeout_ms)
+			abandon(config, patch, out);
+		else if (!patch->in_flight && now >= patch->retry_ms)
+			send_step(patch, out);
 	}
 }
 
@@ -125,9 +129,9 @@
 	TAILQ_FOREACH(patch, &config->patches, link)
 	{
 		jj_ms_t due =
-		    patch->begun_ms + config->settings.call_timeout_ms;
+		    patch->started_ms + config->settings.call_timeout_ms;
 
-		if (!patch->under_way && patch->retry_ms < due)
+		if (!patch->in_flight && patch->retry_ms < due)
 			due = patch->retry_ms;
 		if (due < next)
 			next = due;
@@ -155,20 +159,20 @@
 	jj_config_patch_t *patch = find_patch(config, result->token);
 
 	if (patch == NULL) {
-		/* A commit of a patch that was given up on was applied. */
+		/* A commit of an abandoned patch was applied. */
 		if (result->op != JJ_PLATFORM_GET &&
 		    result->outcome == JJ_PLATFORM_OK)
 			jj_config_refresh(config, now, out);
 		return;
 	}
-	patch->under_way = false;
+	patch->in_flight = false;
 	switch (patch->step) {
 	case STEP_READ:
 		if (result->outcome == JJ_PLATFORM_OK ||
 		    result->outcome == JJ_PLATFORM_ABSENT)
 			take_read(config, patch, result, out);
 		else
-			plan_retry(patch, result, now);
+			schedule_retry(patch, result, now);
 		break;
 	case STEP_RECORD:
 		take_record(patch, result, now, out);
@@ -179,7 +183,10 @@
 	}
 }
 
-/* The name comes from outside; bytes that are no UTF-8 cannot be stored. */
+/*
+ * The name comes from the caller; bytes that are not valid UTF-8 cannot be
+ * stored.
+ */
 static void
 copy_printable(char *to, size_t size, const char *from)
 {
@@ -194,11 +201,11 @@
 set_step(jj_config_patch_t *patch, step_t step, jj_actions_t *out)
 {
 	patch->step = step;
-	call_step(patch, out);
+	send_step(patch, out);
 }
 
 static void
-call_step(jj_config_patch_t *patch, jj_actions_t *out)
+send_step(jj_config_patch_t *patch, jj_actions_t *out)
 {
 	jj_platform_op_t commit =
 	    patch->exists ? JJ_PLATFORM_UPDATE : JJ_PLATFORM_CREATE;
@@ -206,7 +213,7 @@
 	    out, JJ_OWNER_CONFIG, JJ_PLATFORM_GET, patch->number);
 
 	(void)snprintf(call->key, sizeof(call->key), "%s", JJ_CONFIG_KEY);
-	patch->under_way = true;
+	patch->in_flight = true;
 	switch (patch->step) {
 	case STEP_READ:
 		break;
@@ -229,17 +236,17 @@
 }
 
 static void
-plan_retry(
+schedule_retry(
     jj_config_patch_t *patch, const jj_platform_result_t *result, jj_ms_t now)
 {
-	jj_ms_t wait = patch->wait_ms;
+	jj_ms_t wait = patch->retry_delay_ms;
 
 	if (wait < result->retry_after_ms)
 		wait = result->retry_after_ms;
 	patch->retry_ms = now + wait;
-	patch->wait_ms *= 2;
-	if (patch->wait_ms > RETRY_MOST_MS)
-		patch->wait_ms = RETRY_MOST_MS;
+	patch->retry_delay_ms *= 2;
+	if (patch->retry_delay_ms > RETRY_DELAY_MAX_MS)
+		patch->retry_delay_ms = RETRY_DELAY_MAX_MS;
 }
 
 static void
@@ -260,9 +267,12 @@
 	stored = newest_stored(config, found ? &result->value : &none);
 	current = stored_version(stored);
 	applied = find_operation(stored, patch->operation_text);
-	/* The commit took effect but its answer was lost, here or at another
-	 * VM: the operator would be told of a conflict with the own patch
-	 * and might apply it twice. The operation in the object shows it. */
+	/*
+	 * The commit took effect but its answer was lost, here or at another
+	 * VM: the operator would get a conflict with the own patch and might
+	 * apply it twice. The operation id in the object shows that it was
+	 * applied.
+	 */
 	if (applied > 0)
 		finish(config, patch, 200, applied, "applied", out);
 	else if (current != patch->base_version)
@@ -279,13 +289,15 @@
 take_record(jj_config_patch_t *patch, const jj_platform_result_t *result,
     jj_ms_t now, jj_actions_t *out)
 {
-	/* The key holds this operation, so a conflict is with the record of
-	 * an earlier try of the same patch. */
+	/*
+	 * The key contains this operation id, so a conflict means that an
+	 * earlier attempt of the same patch wrote the record.
+	 */
 	if (result->outcome == JJ_PLATFORM_OK ||
 	    result->outcome == JJ_PLATFORM_CONFLICT)
 		set_step(patch, STEP_COMMIT, out);
 	else
-		plan_retry(patch, result, now);
+		schedule_retry(patch, result, now);
 }
 
 static void
@@ -303,20 +315,24 @@
 		set_step(patch, STEP_READ, out);
 		break;
 	case JJ_PLATFORM_UNKNOWN:
-		/* A late commit and its repeat have the same condition, so
-		 * at most one of them takes effect. */
+		/*
+		 * A delayed commit and its repeat have the same condition, so
+		 * at most one of them takes effect.
+		 */
 		patch->unknown = true;
 		patch->step = STEP_READ;
-		plan_retry(patch, result, now);
+		schedule_retry(patch, result, now);
 		break;
 	default:
-		plan_retry(patch, result, now);
+		schedule_retry(patch, result, now);
 		break;
 	}
 }
 
-/* The platform's object, or ours when that is newer: the platform may have
- * been restored from an older copy, and versions never go back. */
+/*
+ * The platform's object, or this VM's when that is newer: the platform may have
+ * been restored from an older copy, and versions never decrease.
+ */
 static json_t *
 newest_stored(const jj_config_t *config, const jj_bytes_t *value)
 {
@@ -339,7 +355,7 @@
 	return version > 0 ? (uint64_t)version : 0;
 }
 
-/* The version that an operation got, 0: not among the recent ones. */
+/* The version that an operation created; 0: not among the recent ones. */
 static uint64_t
 find_operation(const json_t *stored, const char *operation)
 {
@@ -412,12 +428,12 @@
 	(void)json_array_append_new(recent,
 	    json_pack("{s:s,s:I}", "operation", operation, "version",
 		(json_int_t)version));
-	for (i = 0; i < json_array_size(before) && i < RECENT_MOST - 1; i++)
+	for (i = 0; i < json_array_size(before) && i < RECENT_MAX - 1; i++)
 		(void)json_array_append(recent, json_array_get(before, i));
 	return recent;
 }
 
-/* Takes the reference. */
+/* Serializes the value and releases its reference. */
 static jj_bytes_t
 dump(json_t *json)
 {
@@ -472,10 +488,10 @@
 }
 
 static void
-give_up(jj_config_t *config, jj_config_patch_t *patch, jj_actions_t *out)
+abandon(jj_config_t *config, jj_config_patch_t *patch, jj_actions_t *out)
 {
 	bool unknown =
-	    patch->unknown || (patch->step == STEP_COMMIT && patch->under_way);
+	    patch->unknown || (patch->step == STEP_COMMIT && patch->in_flight);
 	const char *detail = unknown
 	    ? "the platform does not answer; whether the patch was applied "
 	      "is unknown; sending it again with the same key is safe"
--- a/src/core/config_state.h
+++ b/src/core/config_state.h
@@ -1,6 +1,6 @@
 /**
  * @file config_state.h
- * @brief What config.c and config_patch.c share; private to them.
+ * @brief State shared by config.c and config_patch.c; private to them.
  */
 #ifndef JJ_CORE_CONFIG_STATE_H
 #define JJ_CORE_CONFIG_STATE_H
@@ -9,12 +9,12 @@
 
 #include "core/config.h"
 
-/** Key of the object in force. */
+/** Platform key of the current configuration. */
 #define JJ_CONFIG_KEY "config/current"
-/** Token of a refresh; patches count from 1. */
+/** Token of a refresh; tokens of patches count from 1. */
 #define JJ_CONFIG_REFRESH 0
 
-/** One patch on its way to the platform. */
+/** One patch in progress. */
 typedef struct jj_config_patch jj_config_patch_t;
 TAILQ_HEAD(jj_config_patches, jj_config_patch);
 
@@ -32,7 +32,7 @@
 
 /** Frees all patches without an answer. */
 void jj_config_patches_clear(jj_config_t *config);
-/** A result whose token is a patch's. */
+/** Handles a platform result whose token belongs to a patch. */
 void jj_config_patches_take_result(jj_config_t *config,
     const jj_platform_result_t *result, jj_ms_t now, jj_actions_t *out);
 
--- a/src/core/event_stream.c
+++ b/src/core/event_stream.c
@@ -1,6 +1,6 @@
 /**
  * @file event_stream.c
- * @brief Whole server-sent events out of a stream's bytes, in their order.
+ * @brief Splits a byte stream into complete server-sent events, in order.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -10,15 +10,16 @@
 /** One line of an event. */
 typedef struct {
 	const char *text;
-	size_t size; /**< without its end */
-	size_t whole; /**< with its end; 0: the line has no end yet */
+	size_t size; /**< without its line end */
+	size_t
+	    size_with_end; /**< with its line end; 0: the line is incomplete */
 } line_t;
 
 static line_t read_line(const char *, size_t);
 static size_t find_event_end(const char *, size_t);
 static void read_fields(jj_event_piece_t *);
 static bool is_field(const line_t *, const char *, const char **, size_t *);
-static bool is_next(const jj_event_stream_t *, const jj_event_piece_t *);
+static bool is_in_sequence(const jj_event_stream_t *, const jj_event_piece_t *);
 
 void
 jj_event_stream_begin(jj_event_stream_t *stream, int64_t last_id)
@@ -38,9 +39,9 @@
 		    stream->size);
 		stream->start = 0;
 	}
-	if (stream->size + size > stream->room) {
-		stream->room = stream->size + size + 512;
-		stream->pending = jj_realloc(stream->pending, stream->room);
+	if (stream->size + size > stream->capacity) {
+		stream->capacity = stream->size + size + 512;
+		stream->pending = jj_realloc(stream->pending, stream->capacity);
 	}
 	memcpy(stream->pending + stream->size, data, size);
 	stream->size += size;
@@ -49,22 +50,22 @@
 jj_event_found_t
 jj_event_stream_next(jj_event_stream_t *stream, jj_event_piece_t *piece)
 {
-	const char *from = stream->pending + stream->start;
-	size_t left = stream->size - stream->start;
+	const char *next_byte = stream->pending + stream->start;
+	size_t remaining = stream->size - stream->start;
 	size_t end;
 
 	if (stream->ended)
 		return JJ_EVENT_FOREIGN;
-	end = left > 0 ? find_event_end(from, left) : 0;
+	end = remaining > 0 ? find_event_end(next_byte, remaining) : 0;
 	if (end == 0) {
-		stream->ended = left > JJ_EVENT_SIZE_MAX;
+		stream->ended = remaining > JJ_EVENT_SIZE_MAX;
 		return stream->ended ? JJ_EVENT_FOREIGN : JJ_EVENT_MORE;
 	}
 	memset(piece, 0, sizeof(*piece));
-	piece->raw = from;
+	piece->raw = next_byte;
 	piece->raw_size = end;
 	read_fields(piece);
-	if (!is_next(stream, piece)) {
+	if (!is_in_sequence(stream, piece)) {
 		stream->ended = true;
 		return JJ_EVENT_FOREIGN;
 	}
@@ -91,27 +92,28 @@
 jj_event_piece_append_data(
     const jj_event_piece_t *piece, bool first, jj_bytes_t *text)
 {
-	size_t at = 0;
-	bool begun = false;
+	size_t offset = 0;
+	bool has_line = false;
 
 	if (!piece->has_data)
 		return;
 	if (!first)
 		jj_bytes_append(text, "\n", 1);
-	while (at < piece->raw_size) {
-		line_t line = read_line(piece->raw + at, piece->raw_size - at);
+	while (offset < piece->raw_size) {
+		line_t line =
+		    read_line(piece->raw + offset, piece->raw_size - offset);
 		const char *value;
 		size_t size;
 
-		if (line.whole == 0)
+		if (line.size_with_end == 0)
 			return;
-		at += line.whole;
+		offset += line.size_with_end;
 		if (!is_field(&line, "data", &value, &size))
 			continue;
-		if (begun)
+		if (has_line)
 			jj_bytes_append(text, "\n", 1);
 		jj_bytes_append(text, value, size);
-		begun = true;
+		has_line = true;
 	}
 }
 
@@ -124,26 +126,26 @@
 	if (end == NULL)
 		return line;
 	line.size = (size_t)(end - text);
-	line.whole = line.size + 1;
+	line.size_with_end = line.size + 1;
 	if (line.size > 0 && text[line.size - 1] == '\r')
 		line.size--;
 	return line;
 }
 
-/** Bytes up to the end of the first empty line; 0: there is none. */
+/** Size up to the end of the first empty line; 0: there is none. */
 static size_t
 find_event_end(const char *text, size_t size)
 {
-	size_t at = 0;
+	size_t offset = 0;
 
-	while (at < size) {
-		line_t line = read_line(text + at, size - at);
+	while (offset < size) {
+		line_t line = read_line(text + offset, size - offset);
 
-		if (line.whole == 0)
+		if (line.size_with_end == 0)
 			return 0;
-		at += line.whole;
+		offset += line.size_with_end;
 		if (line.size == 0)
-			return at;
+			return offset;
 	}
 	return 0;
 }
@@ -151,18 +153,19 @@
 static void
 read_fields(jj_event_piece_t *piece)
 {
-	size_t at = 0;
+	size_t offset = 0;
 
 	piece->id = JJ_EVENT_NO_ID;
-	while (at < piece->raw_size) {
-		line_t line = read_line(piece->raw + at, piece->raw_size - at);
+	while (offset < piece->raw_size) {
+		line_t line =
+		    read_line(piece->raw + offset, piece->raw_size - offset);
 		const char *value;
 		char number[24] = "";
 		size_t size;
 
-		if (line.whole == 0)
+		if (line.size_with_end == 0)
 			return;
-		at += line.whole;
+		offset += line.size_with_end;
 		if (is_field(&line, "data", &value, &size))
 			piece->has_data = true;
 		if (!is_field(&line, "id", &value, &size) || size == 0 ||
@@ -192,13 +195,13 @@
 }
 
 /**
- * Guards against a run that is joined to another one's events: a server that
- * began anew instead of going on, a second run behind the first, bytes of a
- * stranger. It would show as an id that does not follow on the last one. The
- * first event of all sets where ids begin (0 or 1).
+ * Guards against joining a run with another one's events: a server that
+ * restarted the run instead of resuming it, a second run after the first, or
+ * foreign bytes. Each shows as an id that does not follow the last one. The
+ * first event of a stream sets the first id (0 or 1).
  */
 static bool
-is_next(const jj_event_stream_t *stream, const jj_event_piece_t *piece)
+is_in_sequence(const jj_event_stream_t *stream, const jj_event_piece_t *piece)
 {
 	if (!piece->has_data)
 		return piece->id == JJ_EVENT_NO_ID;
--- a/src/core/json_text.c
+++ b/src/core/json_text.c
@@ -1,6 +1,6 @@
 /**
  * @file json_text.c
- * @brief JSON values to bytes, and strings out of JSON values.
+ * @brief Serializes JSON values, and copies strings out of them.
  */
 #include "core/json_text.h"
 
@@ -21,11 +21,11 @@
 }
 
 bool
-jj_json_copy_text(char *to, size_t room, const json_t *text)
+jj_json_copy_text(char *to, size_t capacity, const json_t *text)
 {
 	size_t size = json_string_length(text);
 
-	if (!json_is_string(text) || size >= room)
+	if (!json_is_string(text) || size >= capacity)
 		return false;
 	memcpy(to, json_string_value(text), size + 1);
 	return true;
--- a/src/core/json_text.h
+++ b/src/core/json_text.h
@@ -1,6 +1,6 @@
 /**
  * @file json_text.h
- * @brief JSON values to bytes, and strings out of JSON values.
+ * @brief Serializes JSON values, and copies strings out of them.
  */
 #ifndef JJ_CORE_JSON_TEXT_H
 #define JJ_CORE_JSON_TEXT_H
@@ -9,13 +9,13 @@
 
 #include "core/types.h"
 
-/** Compact text of an object, whose reference is taken over. */
+/** Compact text of an object; releases its reference. */
 jj_bytes_t jj_json_take_bytes(json_t *object);
 /**
- * Copies a JSON string with its NUL.
- * @return false, and nothing is copied, when @p text is no string or is
- * longer than @p room allows.
+ * Copies a JSON string with its NUL into @p capacity bytes.
+ * @return false, with nothing copied, when @p text is not a string or does not
+ * fit.
  */
-bool jj_json_copy_text(char *to, size_t room, const json_t *text);
+bool jj_json_copy_text(char *to, size_t capacity, const json_t *text);
 
 #endif
--- a/src/core/operation.c
+++ b/src/core/operation.c
@@ -1,6 +1,6 @@
 /**
  * @file operation.c
- * @brief Operation and object ids, and recognising a write read back.
+ * @brief Operation and object ids; recognises a write that is read back.
  */
 #include "core/operation.h"
 
--- a/src/core/operation.h
+++ b/src/core/operation.h
@@ -1,11 +1,11 @@
 /**
  * @file operation.h
- * @brief Operation ids: how a writer knows its own write at the platform.
+ * @brief Operation ids, by which a writer recognises its own write.
  *
- * The platform's answer to a write may be lost after the write took effect;
- * the repeat then meets a conflict with the writer's own value. Each
- * conditional write therefore carries the writer's name and an operation id
- * that is new for each write and the same for its repeats.
+ * The platform's answer to a write may be lost after the write took effect; the
+ * repeat then conflicts with the writer's own value. So each conditional write
+ * carries the writer's name and an operation id, which is new for each write
+ * and the same for its repeats.
  */
 #ifndef JJ_CORE_OPERATION_H
 #define JJ_CORE_OPERATION_H
@@ -33,9 +33,9 @@
 /** Writes an id as 16 hex digits. */
 void jj_operation_write(char text[JJ_OPERATION_TEXT], uint64_t operation);
 /**
- * Tells whether a value read back from the platform is the given write.
+ * True when a value read from the platform is the given write.
  * @param value JSON object with "writer" and "operation".
- * @return false for another's write and for malformed JSON.
+ * @return false for another process's write and for malformed JSON.
  */
 bool jj_operation_is_own(
     const jj_bytes_t *value, const char *writer, const char *operation);
--- a/src/core/types.c
+++ b/src/core/types.c
@@ -10,10 +10,10 @@
 
 #include "core/types.h"
 
-/** Room of a buffer beyond its first piece, bytes. */
-#define BUFFER_FIRST 1024
-/** Length of a hash at the end of a shortened name, with its separator. */
-#define HASH_TEXT 17
+/** Minimum bytes by which a buffer grows. */
+#define BUFFER_GROWTH_MIN 1024
+/** Length of the hash suffix of a shortened name, with its separator. */
+#define HASH_SUFFIX_LENGTH 17
 
 bool
 jj_name_set(jj_name_t *name, const char *text)
@@ -35,20 +35,20 @@
 }
 
 void
-jj_text_fit(char *fitted, size_t room, const char *text)
+jj_text_fit(char *fitted, size_t size, const char *text)
 {
 	size_t length = strlen(text);
 	const char *end;
 
-	if (length < room) {
+	if (length < size) {
 		memcpy(fitted, text, length + 1);
 		return;
 	}
-	end = text + room - 1 - HASH_TEXT;
-	/* Bytes behind the first one of a character. */
+	end = text + size - 1 - HASH_SUFFIX_LENGTH;
+	/* Skips back over UTF-8 continuation bytes. */
 	while (end > text && (*end & 0xc0) == 0x80)
 		end--;
-	(void)snprintf(fitted, room, "%.*s~%016llx", (int)(end - text), text,
+	(void)snprintf(fitted, size, "%.*s~%016llx", (int)(end - text), text,
 	    (unsigned long long)jj_hash_bytes(text, length, 0));
 }
 
@@ -105,9 +105,10 @@
 {
 	jj_bytes_t *bytes = &buffer->bytes;
 
-	if (bytes->size + size + 1 > buffer->room) {
-		buffer->room = buffer->room * 2 + size + BUFFER_FIRST;
-		bytes->data = jj_realloc(bytes->data, buffer->room);
+	if (bytes->size + size + 1 > buffer->capacity) {
+		buffer->capacity =
+		    buffer->capacity * 2 + size + BUFFER_GROWTH_MIN;
+		bytes->data = jj_realloc(bytes->data, buffer->capacity);
 	}
 	memcpy(bytes->data + bytes->size, data, size);
 	bytes->size += size;
@@ -127,7 +128,7 @@
 jj_buffer_clear(jj_buffer_t *buffer)
 {
 	jj_bytes_free(&buffer->bytes);
-	buffer->room = 0;
+	buffer->capacity = 0;
 }
 
 uint64_t
--- a/src/core/types.h
+++ b/src/core/types.h
@@ -1,6 +1,6 @@
 /**
  * @file types.h
- * @brief Names, bytes and limits that all modules of the core share.
+ * @brief Names, bytes, hashes and limits that all modules of the core use.
  */
 #ifndef JJ_CORE_TYPES_H
 #define JJ_CORE_TYPES_H
@@ -27,11 +27,11 @@
 
 /** Bytes on the heap, owned by the struct that holds them. */
 typedef struct {
-	char *data; /**< NULL when empty; has a NUL behind the last byte */
+	char *data; /**< NULL when empty; NUL-terminated */
 	size_t size; /**< bytes, without that NUL */
 } jj_bytes_t;
 
-/** One run of a jujubed process: a new random number at each start, not 0. */
+/** Identifies one run of a jujubed process: a random number, never 0. */
 typedef uint64_t jj_incarnation_t;
 
 /** A 128-bit hash. */
@@ -42,10 +42,10 @@
 
 /** Copies @p text into a name; false (and an empty name) when too long. */
 bool jj_name_set(jj_name_t *name, const char *text);
-/** Likewise; a text that is too long is cut and ends in its hash. */
+/** Like jj_name_set; a text that is too long is cut and ends in its hash. */
 void jj_name_fit(jj_name_t *name, const char *text);
-/** Likewise into @p room bytes, more than the hash takes. */
-void jj_text_fit(char *fitted, size_t room, const char *text);
+/** Like jj_name_fit into @p size bytes, which must exceed the hash suffix. */
+void jj_text_fit(char *fitted, size_t size, const char *text);
 /** True when both names are the same. */
 bool jj_name_equal(const jj_name_t *a, const jj_name_t *b);
 /** True for the empty name. */
@@ -55,20 +55,22 @@
 jj_bytes_t jj_bytes_copy(const void *data, size_t size);
 /** Copies a NUL-terminated string. */
 jj_bytes_t jj_bytes_from_text(const char *text);
-/** Adds @p size bytes behind those that are there. */
+/** Appends @p size bytes. */
 void jj_bytes_append(jj_bytes_t *bytes, const void *data, size_t size);
 /** Frees the bytes and empties the struct. */
 void jj_bytes_free(jj_bytes_t *bytes);
 
-/** Bytes that come in many pieces; zeroed it is empty. */
+/** A growing buffer; zeroed it is empty. */
 typedef struct {
-	jj_bytes_t bytes; /**< what is there, with its NUL */
-	size_t room; /**< allocated, bytes */
+	jj_bytes_t bytes; /**< contents, NUL-terminated */
+	size_t capacity; /**< allocated bytes */
 } jj_buffer_t;
 
-/** Adds @p size bytes; the room doubles, so that few pieces are moved. */
+/**
+ * Appends @p size bytes; the capacity doubles, so that appending copies little.
+ */
 void jj_buffer_append(jj_buffer_t *buffer, const void *data, size_t size);
-/** Hands the bytes over; the buffer is empty after it. */
+/** Returns the bytes to the caller and empties the buffer. */
 jj_bytes_t jj_buffer_take(jj_buffer_t *buffer);
 /** Frees the bytes and empties the buffer. */
 void jj_buffer_clear(jj_buffer_t *buffer);
@@ -81,21 +83,24 @@
 bool jj_hash_equal(const jj_hash_t *a, const jj_hash_t *b);
 
 /**
- * Weight of @p node for @p item in rendezvous (highest random weight)
- * hashing: the node with the greatest weight is chosen, so that a node that
- * comes or goes moves only its own items.
+ * Weight of @p node for @p item in rendezvous (highest random weight) hashing:
+ * the node with the greatest weight is chosen, so that only the items of a node
+ * that joins or leaves move.
  */
 uint64_t jj_rendezvous_weight(const char *node, uint64_t item);
 
-/** malloc that stops the process when memory is exhausted; zeroed. */
+/** Allocates zeroed memory; aborts the process when memory is exhausted. */
 void *jj_alloc(size_t size);
-/** realloc that stops the process when memory is exhausted. */
+/** Like realloc; aborts the process when memory is exhausted. */
 void *jj_realloc(void *memory, size_t size);
 
-/** Stops the process with a message: an invariant of the core is broken. */
+/** Aborts the process with a message: an invariant of the core is violated. */
 __attribute__((noreturn)) void
 jj_invariant_broken(const char *file, int line, const char *what);
-/** Checks an invariant; all other faults are outcomes, never this. */
+/**
+ * Checks an invariant. For programming errors only; all other faults are
+ * returned as outcomes.
+ */
 #define JJ_INVARIANT(condition) \
 	((condition) ? (void)0  \
 		     : jj_invariant_broken(__FILE__, __LINE__, #condition))
