--- a/src/core/event_stream.c
+++ b/src/core/event_stream.c
@@ -11,8 +11,7 @@
 typedef struct {
 	const char *text;
 	size_t size; /**< without its line end */
-	size_t
-	    size_with_end; /**< with its line end; 0: the line is incomplete */
+	size_t size_with_end; /**< 0: the line has no end yet */
 } line_t;
 
 static line_t read_line(const char *, size_t);
--- a/src/core/message.h
+++ b/src/core/message.h
@@ -1,74 +1,86 @@
 /**
  * @file message.h
- * @brief Messages between VMs, typed; the wire codec is an adapter.
+ * @brief Types of the messages between VMs; the wire codec is an adapter.
  *
- * Every message may be lost, repeated, late or out of order: ZeroMQ queues
- * while a neighbour is away and delivers old news after a reconnect. The
- * header's incarnation and sequence let the receiver drop what is stale.
+ * Any message may be lost, repeated, delayed or reordered: ZeroMQ queues while
+ * a neighbour is unreachable and delivers old messages after a reconnect. The
+ * header's incarnation and sequence let the receiver drop stale ones.
  */
 #ifndef JJ_CORE_MESSAGE_H
 #define JJ_CORE_MESSAGE_H
 
 #include "core/platform_call.h"
 
-/** Version of this set of messages; another one is dropped and counted. */
+/** Protocol version; messages of another version are dropped and counted. */
 #define JJ_MESSAGE_VERSION 2
-/** Most bytes of documents, bodies and news in one message. */
+/** Maximum bytes of documents, bodies and events in one message. */
 #define JJ_MESSAGE_BYTES_MAX (4 * 1048576)
-/** Most servers in one message of loads that changed. */
+/** Maximum servers in one message of changed loads. */
 #define JJ_MESSAGE_LOADS_MAX 128
-/** Most servers whose load one heartbeat carries; a fleet has 2,300. */
+/** Maximum server loads in one heartbeat; a fleet has 2,300 servers. */
 #define JJ_HEARTBEAT_LOADS_MAX 4096
-/** Most ledger records in one transfer message. */
+/** Maximum ledger records in one sync message. */
 #define JJ_MESSAGE_RECORDS_MAX 64
-/** Longest id of a job in a message, its end included. */
+/** Size of a job id in a message, with its NUL. */
 #define JJ_MESSAGE_JOB_ID_SIZE 128
-/** Most jobs in one message of their states. */
+/** Maximum jobs in one message of job states. */
 #define JJ_MESSAGE_JOB_STATES_MAX 64
-/** Most deaths of servers kept and told for one request. */
+/** Maximum server crashes that are kept and sent per request. */
 #define JJ_MESSAGE_DEATHS_MAX 4
-/** Most requests in one message of those that crashed servers. */
+/** Maximum requests in one message of the crash history. */
 #define JJ_MESSAGE_STRUCK_MAX 48
-/** Most fingerprints in one crash report. */
+/** Maximum fingerprints in one crash report. */
 #define JJ_MESSAGE_SUSPECTS_MAX 64
 
 typedef enum {
 	JJ_MESSAGE_HEARTBEAT = 1,
-	JJ_MESSAGE_PROBE, /**< asks an unknown incarnation to echo */
-	JJ_MESSAGE_PROBE_ECHO, /**< only the living process can send it */
-	JJ_MESSAGE_CONFIG_ASK, /**< send me your newest configuration */
-	JJ_MESSAGE_CONFIG, /**< a whole configuration */
+	JJ_MESSAGE_PROBE, /**< requests an echo from an unknown incarnation */
+	JJ_MESSAGE_PROBE_ECHO, /**< only the running process can send it */
+	JJ_MESSAGE_CONFIG_ASK, /**< requests a newer configuration */
+	JJ_MESSAGE_CONFIG, /**< a complete configuration */
 	JJ_MESSAGE_LOAD, /**< loads that changed */
-	JJ_MESSAGE_CALL, /**< entry VM to home: run this once */
+	JJ_MESSAGE_CALL, /**< entry VM to home: run this call at most once */
 	JJ_MESSAGE_CALL_ANSWER, /**< home to entry VM */
-	JJ_MESSAGE_INTENT, /**< home to witness: about to send */
+	JJ_MESSAGE_INTENT, /**< home to witness: about to run a call */
 	JJ_MESSAGE_INTENT_ACK, /**< witness to home */
-	JJ_MESSAGE_RESOLVE, /**< home to witness: how it ended */
+	JJ_MESSAGE_RESOLVE, /**< home to witness: the outcome of a call */
 	JJ_MESSAGE_SYNC, /**< home to new witness: records of a slot */
-	JJ_MESSAGE_SYNC_ACK, /**< witness to home: all records held */
+	JJ_MESSAGE_SYNC_ACK, /**< witness to home: one part is stored */
 	JJ_MESSAGE_SLOTS, /**< newest slot table, as stored */
-	JJ_MESSAGE_CRASH, /**< a backend server died with these on it */
+	/** a backend server crashed with these requests on it */
+	JJ_MESSAGE_CRASH,
 	JJ_MESSAGE_SERVER_STATE, /**< a backend server is leaving or down */
-	JJ_MESSAGE_JOBS, /**< job events of the domain's watch relay */
-	JJ_MESSAGE_VMS, /**< the platform's VM list, body as of JOBS */
-	JJ_MESSAGE_YIELD, /**< cut a batch item there: online needs its place */
-	JJ_MESSAGE_JOB_ENDED, /**< its client has ended this job of yours */
-	JJ_MESSAGE_RELAY, /**< what a watch brought, for VMs that do not watch */
-	JJ_MESSAGE_JOB_STATES, /**< jobs that the sender runs */
-	JJ_MESSAGE_STRUCK, /**< requests known to have crashed servers */
-	JJ_MESSAGE_LEND, /**< call the platform for me, I do not reach it */
-	JJ_MESSAGE_LENT, /**< what came of that call */
-	JJ_MESSAGE_JOB_READ, /**< a reader here wants results of your job */
-	JJ_MESSAGE_JOB_PAGE, /**< they are these, or ask the platform */
+	JJ_MESSAGE_JOBS, /**< job events of the speaker's watch */
+	JJ_MESSAGE_VMS, /**< the platform's VM list, body as in JOBS */
+	/**
+	 * stop a batch item at that server: an online request needs its slot
+	 */
+	JJ_MESSAGE_YIELD,
+	/** the client of this job of the receiver has ended it */
+	JJ_MESSAGE_JOB_ENDED,
+	JJ_MESSAGE_RELAY, /**< events of a watch, for VMs that do not watch */
+	JJ_MESSAGE_JOB_STATES, /**< states of the jobs that the sender runs */
+	/** crash history: requests known to have crashed servers */
+	JJ_MESSAGE_STRUCK,
+	/**
+	 * asks the receiver to call the platform, which the sender cannot reach
+	 */
+	JJ_MESSAGE_LEND,
+	JJ_MESSAGE_LENT, /**< the result of a LEND */
+	/** requests results of a job of the receiver, for a reader */
+	JJ_MESSAGE_JOB_READ,
+	/** the results, or none: read them from the platform */
+	JJ_MESSAGE_JOB_PAGE,
 	JJ_MESSAGE_KIND_END,
 } jj_message_kind_t;
 
-/** What a VM runs on one backend server. */
+/** Load that a VM puts on one backend server. */
 typedef struct {
 	uint64_t server; /**< jj_dispatch_hash_server of its name */
 	uint32_t online; /**< online requests in flight */
 	uint32_t batch; /**< batch items in flight */
-	uint32_t suspects; /**< of them, those that may crash it */
+	/** of these, requests suspected of crashing servers */
+	uint32_t suspects;
 } jj_load_t;
 
 typedef enum {
@@ -80,41 +92,44 @@
 typedef struct {
 	jj_vm_state_t state;
 	jj_name_t domain;
-	char address[JJ_NAME_MAX + 1]; /**< IP:PORT for neighbours */
+	/** IP:PORT that neighbours connect to */
+	char address[JJ_NAME_MAX + 1];
 	uint64_t config_version;
 	uint64_t slots_version; /**< platform version of the slot table */
-	/** Highest sequence the sender has accepted from the receiver's
-	 * process, 0: none. Says when the sender was alive: see member.h. */
+	/**
+	 * Highest sequence that the sender has accepted from the receiver's
+	 * process, 0: none. Shows when the sender was alive: see member.h.
+	 */
 	uint64_t ack_sequence;
 	uint32_t load_count;
-	jj_load_t *loads; /**< owned; of all servers that it has requests at */
+	jj_load_t *loads; /**< owned; all servers where it has requests */
 } jj_heartbeat_t;
 
 /** State of one idempotency key. */
 typedef enum {
 	JJ_RECORD_INTENT, /**< may have been sent */
 	JJ_RECORD_DONE, /**< ran; answer kept when small enough */
-	JJ_RECORD_UNKNOWN, /**< may have run; nobody will learn more */
+	JJ_RECORD_UNKNOWN, /**< may have run; the outcome cannot be learned */
 } jj_record_state_t;
 
-/** One idempotency key's record as it travels between home and witness. */
+/** Record of one idempotency key, as sent between home and witness. */
 typedef struct {
 	jj_hash_t key;
 	uint64_t fingerprint; /**< of service, path and body */
 	uint32_t attempt; /**< counts intents of this key at its home */
 	jj_record_state_t state;
-	jj_ms_t age_ms; /**< since the record was made, on the sender's clock */
+	jj_ms_t age_ms; /**< age of the record by the sender's clock */
 	int32_t status; /**< HTTP status of a DONE record */
 	jj_bytes_t answer; /**< body of a DONE record, empty when too large */
 } jj_record_t;
 
-/** How a non-idempotent call ended, as its entry VM is told. */
+/** Outcome of a non-idempotent call, as sent to its entry VM. */
 typedef enum {
 	JJ_CALL_DONE, /**< ran; status and body are its answer */
 	JJ_CALL_REPLAYED, /**< ran earlier; this is the stored answer */
 	JJ_CALL_IN_PROGRESS, /**< an earlier attempt has not ended yet */
 	JJ_CALL_MISMATCH, /**< same key, other content; not run */
-	JJ_CALL_NOT_RUN, /**< surely not run under this key */
+	JJ_CALL_NOT_RUN, /**< certainly not run under this key */
 	JJ_CALL_UNKNOWN, /**< may have run; never sent again */
 	JJ_CALL_NO_HISTORY, /**< this attempt not run, earlier ones unknown */
 } jj_call_outcome_t;
@@ -122,7 +137,7 @@
 typedef struct {
 	uint64_t call; /**< the entry VM's number */
 	uint32_t slot;
-	uint64_t epoch; /**< slot's epoch the sender believes in */
+	uint64_t epoch; /**< epoch of the slot in the sender's table */
 	jj_hash_t key;
 	uint64_t fingerprint;
 	jj_ms_t budget_ms; /**< time left until the caller's deadline */
@@ -152,13 +167,14 @@
 	uint64_t epoch;
 	jj_hash_t key;
 	uint32_t attempt;
-	bool accepted; /**< false: the witness has left that epoch */
+	/** false: refused, e.g. by a witness in a newer epoch */
+	bool accepted;
 } jj_intent_ack_t;
 
 typedef struct {
 	uint32_t slot;
 	uint64_t epoch;
-	bool removed; /**< surely not run: forget the key */
+	bool removed; /**< certainly not run: remove the key */
 	jj_record_t record;
 } jj_resolve_t;
 
@@ -168,7 +184,7 @@
 	uint32_t part; /**< counts from 0 */
 	bool last;
 	bool history_unknown; /**< the slot's earlier records were lost */
-	jj_ms_t unknown_age_ms; /**< since then, on the sender's clock */
+	jj_ms_t unknown_age_ms; /**< age of that loss by the sender's clock */
 	uint32_t record_count;
 	jj_record_t *records;
 } jj_sync_t;
@@ -181,7 +197,7 @@
 
 typedef struct {
 	jj_name_t server;
-	uint64_t boot; /**< which run of the server died */
+	uint64_t boot; /**< which run of the server crashed */
 	uint32_t suspect_count;
 	uint64_t suspects[JJ_MESSAGE_SUSPECTS_MAX]; /**< fingerprints */
 } jj_crash_t;
@@ -198,27 +214,27 @@
 	jj_server_state_t state;
 } jj_server_notice_t;
 
-/** A poll of one watch: all that changed behind `from`, up to `to`. */
+/** Result of a poll of one watch: all changes after `from`, up to `to`. */
 typedef struct {
-	uint32_t watch; /**< which one; the modules' own number */
+	uint32_t watch; /**< number of the watch among the modules */
 	uint64_t from;
 	uint64_t to;
 	jj_bytes_t events; /**< JSON array of {key,version,gone,value} */
 } jj_relay_news_t;
 
-/** A job that the sender runs, as it is now. */
+/** Progress of a job that the sender runs. */
 typedef struct {
 	uint64_t job; /**< hash of its id */
 	uint64_t route; /**< hash of its route's name */
 	uint64_t tokens; /**< of items that are not finished */
 	uint32_t total; /**< items */
-	uint32_t shown; /**< results that readers may see */
+	uint32_t shown; /**< results available to readers */
 } jj_job_standing_t;
 
-/** A request that was on servers when they died; see quarantine.h. */
+/** A request that was on servers when they crashed; see quarantine.h. */
 typedef struct {
 	uint64_t fingerprint;
-	jj_ms_t age_ms; /**< since the last death, on the sender's clock */
+	jj_ms_t age_ms; /**< time since the last crash by the sender's clock */
 	uint32_t death_count;
 	uint64_t
 	    deaths[JJ_MESSAGE_DEATHS_MAX]; /**< hashes of server and boot */
@@ -229,7 +245,7 @@
 	jj_message_kind_t kind;
 	jj_name_t from;
 	jj_incarnation_t incarnation; /**< of the sender's process */
-	uint64_t sequence; /**< rises with each message of the process */
+	uint64_t sequence; /**< increases with each message of the process */
 	union {
 		jj_heartbeat_t heartbeat;
 		uint64_t nonce; /**< probe and echo */
@@ -254,12 +270,14 @@
 		} slots;
 		jj_crash_t crash;
 		struct {
-			bool asks; /**< the receiver shall tell what it knows */
+			/** the receiver is to send its crash history */
+			bool asks;
 			uint32_t count;
 			jj_struck_t entries[JJ_MESSAGE_STRUCK_MAX];
 		} struck;
 		struct {
-			uint64_t number; /**< of the asking process */
+			/** number of the call in the requesting process */
+			uint64_t number;
 			jj_platform_op_t op; /**< up to JJ_PLATFORM_DELETE */
 			char key[JJ_OBJECT_KEY_MAX + 1];
 			uint64_t version;
@@ -276,15 +294,22 @@
 		uint64_t yield; /**< jj_dispatch_hash_server of its name */
 		char job_ended[JJ_MESSAGE_JOB_ID_SIZE];
 		struct {
-			uint64_t operation; /**< of the VM that asks */
+			/** operation of the requesting VM */
+			uint64_t operation;
 			char job[JJ_MESSAGE_JOB_ID_SIZE];
 			uint32_t after;
-			/** Of the answer: as readers get it; empty: none. */
+			/**
+			 * Of the answer: the page as readers get it; empty:
+			 * none.
+			 */
 			jj_bytes_t page;
 		} job_page; /**< also JOB_READ, without a page */
 		jj_relay_news_t relay;
 		struct {
-			/** As ack_sequence of a heartbeat: how old this is. */
+			/**
+			 * As ack_sequence of a heartbeat: shows how old this
+			 * is.
+			 */
 			uint64_t ack;
 			uint32_t count;
 			jj_job_standing_t states[JJ_MESSAGE_JOB_STATES_MAX];
@@ -296,7 +321,7 @@
 	} body;
 } jj_message_t;
 
-/** Frees what the message owns. */
+/** Frees the data that the message owns. */
 void jj_message_clear(jj_message_t *message);
 /** Short name of a kind, for logs and metrics. */
 const char *jj_message_kind_name(jj_message_kind_t kind);
--- a/tests/core/config_test.cc
+++ b/tests/core/config_test.cc
@@ -1,6 +1,6 @@
 /**
  * @file config_test.cc
- * @brief Patches, their bounds, and that no VM goes back to an older version.
+ * @brief Patches, their bounds, and that no VM reverts to an older version.
  */
 #include <string>
 
@@ -20,7 +20,7 @@
 			  "\"idempotent\":true,\"trade\":0.25}}}";
 const char *const TRADE = "{\"services\":{\"narrador\":{\"trade\":0.75}}}";
 
-/** One VM's configuration over a platform. */
+/** Configuration of one VM on a platform. */
 class Vm
 {
       public:
@@ -57,7 +57,7 @@
 		jj_config_patch(config, 1, key, "ana", base, &bytes, now, &out);
 		jj_bytes_free(&bytes);
 	}
-	/** Until it is answered, at most as long as a patch may take. */
+	/** Runs until the patch is answered, at most as long as it may take. */
 	int
 	finish()
 	{
@@ -147,9 +147,11 @@
 	EXPECT_TRUE(jj_config_service(vm.config, "narrador")->idempotent);
 }
 
-/* Two operators patch the same version through two VMs at once. One applies;
- * the other is told the current version and nothing of it is in force, though
- * its VM read the old version before the first one committed. */
+/*
+ * Two operators patch the same version through two VMs at once. One patch
+ * applies; the other gets the current version and has no effect, though its VM
+ * read the old version before the first one committed.
+ */
 TEST(Config, OfTwoPatchesOfOneVersionOneApplies)
 {
 	FakePlatform platform;
@@ -171,9 +173,11 @@
 	EXPECT_EQ(one.patch(4, 1, TRADE), 412) << "an old base, plainly";
 }
 
-/* The commit takes effect, its answer is lost; the operator's client sends
- * the patch again, to this VM or another, once or after others' patches. Told
- * of a conflict it would apply the patch a second time. */
+/*
+ * The commit takes effect but its answer is lost; the operator's client sends
+ * the patch again, to this VM or another, immediately or after others' patches.
+ * On a conflict it would apply the patch a second time.
+ */
 TEST(Config, APatchWhoseAnswerWasLostIsAppliedOnce)
 {
 	FakePlatform platform;
@@ -232,9 +236,12 @@
 	}
 }
 
-/* The platform goes away just as the commit takes effect: nobody can know.
- * The operator is told so, and a resend with the same key finds it out. */
-TEST(Config, AnUnknownOutcomeIsSaidAndFoundOutByAResend)
+/*
+ * The platform becomes unreachable just as the commit takes effect, so the
+ * outcome is unknown. The operator gets that answer, and a resend with the same
+ * key learns the outcome.
+ */
+TEST(Config, UnknownOutcomeIsReportedAndResolvedByAResend)
 {
 	FakePlatform platform;
 	Vm vm(&platform);
@@ -253,9 +260,12 @@
 	EXPECT_EQ(vm.version, 2u);
 }
 
-/* A VM that was frozen, or missed watches, or hears them late, twice and out
- * of order, or asks a stale neighbour: it never goes back. */
-TEST(Config, NeverGoesBack)
+/*
+ * A VM that was paused, missed watch events, receives them late, twice or out
+ * of order, or gets the copy of a stale neighbour never reverts to an older
+ * version.
+ */
+TEST(Config, NeverRevertsToAnOlderVersion)
 {
 	FakePlatform platform;
 	Vm source(&platform);
@@ -295,8 +305,10 @@
 	EXPECT_EQ(vm.adopted, 2);
 }
 
-/* The platform's store is restored from an older copy. The version in force
- * stays, and the next patch gets the next number, not one given out before. */
+/*
+ * The platform's store is restored from an older copy. The adopted version
+ * stays, and the next patch gets the next number, not one used before.
+ */
 TEST(Config, ARestoredOldStoreDoesNotRevertIt)
 {
 	FakePlatform platform;
--- a/tests/core/core_test.cc
+++ b/tests/core/core_test.cc
@@ -1,6 +1,6 @@
 /**
  * @file core_test.cc
- * @brief Whole cores together: configuration and calls across VMs.
+ * @brief Complete cores together: configuration and calls across VMs.
  */
 #include <algorithm>
 
@@ -11,7 +11,7 @@
 namespace
 {
 
-/** The users' bound: in force everywhere within 3 s. */
+/** Requirement: a patch is in force everywhere within 3 s. */
 const jj_ms_t kInForceMs = 3000;
 
 const char kServices[] =
@@ -23,10 +23,10 @@
 	int domains;
 	int vms;
 	int patches;
-	/** Cuts of domain 1 from the platform, from domains 0 and 2. */
+	/** Partitions of domain 1: from the platform, from domains 0 and 2. */
 	bool platform;
 	bool others;
-	/** The speaker of domain 1 hangs during the patches. */
+	/** The speaker of domain 1 is frozen during the patches. */
 	bool frozen;
 };
 
@@ -34,7 +34,7 @@
 {
 };
 
-/** When the last VM that can be reached had the version in force. */
+/** When the last reachable VM had adopted the version. */
 jj_ms_t
 last_adoption(const World &world, uint64_t version, const std::string &skip)
 {
@@ -55,9 +55,9 @@
 }
 
 /*
- * An operator's patch is accepted, and half a minute later some VM still
- * serves by the old configuration. Watches come late or not at all, a domain
- * is cut from the platform, the VM that watches for its domain is frozen.
+ * Guards against a VM that still uses the old configuration half a minute after
+ * an operator's patch was accepted: watch events are late or lost, a domain is
+ * cut off from the platform, or the VM that watches for its domain is frozen.
  */
 TEST_P(ConfigSpread, IsInForceAtTheLastVmInTime)
 {
@@ -76,17 +76,17 @@
 	}
 	world.at(1, 0).frozen = c.frozen;
 	for (int i = 1; i <= c.patches; i++) {
-		jj_ms_t begun = world.now;
+		jj_ms_t started_ms = world.now;
 		std::string text =
 		    "{\"teams\":{\"t\":{\"weight\":" + std::to_string(i) +
 		    "}}}";
 
 		WorldCore &taker = world.at(i % 2 * 2, i % c.vms);
 		world.patch(taker, (uint64_t)i, text);
-		world.run_until(begun + kInForceMs + 500);
+		world.run_until(started_ms + kInForceMs + 500);
 		ASSERT_EQ(200, taker.patch_answers.back().second);
 		times.push_back(
-		    last_adoption(world, (uint64_t)i + 1, "") - begun);
+		    last_adoption(world, (uint64_t)i + 1, "") - started_ms);
 	}
 	std::sort(times.begin(), times.end());
 	printf("config_spread case=%s vms=%zu patches=%d p50_ms=%lld "
@@ -123,9 +123,9 @@
 };
 
 /*
- * A driver's app reaches whichever VM the balancer picks, and its order is
- * refused at most of them: only a domain's speaker knows VMs of the domain
- * that the key belongs to.
+ * A driver's app reaches any VM through the load balancer. Guards against an
+ * order that most VMs refuse, because only a domain's speaker knows VMs of the
+ * key's domain.
  */
 TEST_P(CallRoute, ReachesTheKeysHomeFromAnyVmAndRunsOnce)
 {
@@ -149,9 +149,9 @@
 }
 
 /*
- * A shop is told "not run" although its order is booked. The answer came
- * late, from a VM that had refused an earlier call with the same number; the
- * call itself was under way at its home.
+ * Guards against "not run" for an order that is booked: a late answer comes
+ * from a VM that had refused an earlier call with the same number, while the
+ * call itself runs at its home.
  */
 TEST(CallAnswer, CountsOnlyFromTheProcessThatHasTheCall)
 {
@@ -181,7 +181,8 @@
 
 struct UnknownCase {
 	const char *name;
-	uint64_t elsewhere; /**< version that another VM reports */
+	uint64_t
+	    reported_version; /**< version in the heartbeat of another VM */
 	jj_give_up_t reason;
 };
 
@@ -206,7 +207,7 @@
 	heartbeat.sequence = 1U << 30;
 	heartbeat.body.heartbeat.domain =
 	    jj_member_find(jj_core_member(entry.core), &heartbeat.from)->domain;
-	heartbeat.body.heartbeat.config_version = GetParam().elsewhere;
+	heartbeat.body.heartbeat.config_version = GetParam().reported_version;
 	event.kind = JJ_EVENT_MESSAGE;
 	event.body.message = &heartbeat;
 	world.handle(entry, event);
@@ -227,9 +228,9 @@
 	UnknownCase{"IsElsewhere", 99, JJ_GIVE_UP_NO_CONFIG}),
     [](const auto &one) { return std::string(one.param.name); });
 
-/** One VM's word, to some, that a request crashed two engines. */
+/** Sends a report of VM @p from that a request crashed two engines. */
 static void
-tell_two_crashes(World &world, const WorldCore &from,
+report_two_crashes(World &world, const WorldCore &from,
     const std::vector<WorldCore *> &to, uint64_t fingerprint)
 {
 	jj_message_t crash = {};
@@ -251,26 +252,27 @@
 	}
 }
 
-struct StruckCase {
+struct CrashHistoryCase {
 	const char *name;
-	jj_ms_t message_ms; /**< on the way from VM to VM */
-	jj_ms_t after_ms; /**< since the start; 20: it has heard nobody yet */
+	jj_ms_t message_ms; /**< message delay between VMs */
+	/** time since the restart; 20: no VM has answered it yet */
+	jj_ms_t after_ms;
 };
 
 /*
- * A timesheet note has crashed two engines and is refused. One VM of the
- * domain was killed meanwhile and comes back with an empty memory; the
- * caller sends the note there, and it crashes two more. The same when the
- * note is there before the VM has heard another one.
+ * A request has crashed two engines and is refused. One VM of the domain was
+ * killed meanwhile and restarts with empty memory; the caller sends the request
+ * there, and it crashes two more. The same when the request arrives before the
+ * VM has received a message of another one.
  */
-class Struck : public ::testing::TestWithParam<StruckCase>
+class Struck : public ::testing::TestWithParam<CrashHistoryCase>
 {
 };
 
-TEST_P(Struck, AVmThatComesBackIsToldWhatIsRefused)
+TEST_P(Struck, RestartedVmReceivesTheCrashHistory)
 {
 	constexpr uint64_t POISON = 666;
-	const StruckCase &c = GetParam();
+	const CrashHistoryCase &c = GetParam();
 	World world(1, 3);
 	WorldCore &gone = world.at(0, 2);
 	jj_event_t event = {};
@@ -279,7 +281,7 @@
 	world.run_until(6000);
 	world.patch(world.at(0, 1), 0, kServices);
 	world.run_until(8000);
-	tell_two_crashes(world, gone, {&world.at(0, 0)}, POISON);
+	report_two_crashes(world, gone, {&world.at(0, 0)}, POISON);
 	world.restart(gone, 99);
 	world.run_until(world.now + c.after_ms);
 
@@ -297,11 +299,12 @@
 }
 
 /*
- * The note has crashed two engines abroad while the domains did not hear each
- * other. Then one VM of each meets the other's; a resend at a VM that met
- * nobody from abroad crashed two engines more.
+ * The request has crashed two engines in a remote domain while the domains
+ * could not reach each other. Then one VM of each domain receives the other's
+ * crash history; a resend at a VM that has not received it crashed two more
+ * engines.
  */
-TEST(StruckAbroad, WhatOneVmIsToldItsDomainKnows)
+TEST(StruckAbroad, DomainReceivesWhatOneVmReceived)
 {
 	constexpr uint64_t POISON = 666;
 	World world(2, 3);
@@ -309,7 +312,7 @@
 	world.run_until(6000);
 	world.cut_domains.insert({"d100", "d101"});
 	world.run_until(10000);
-	tell_two_crashes(
+	report_two_crashes(
 	    world, world.at(0, 2), {&world.at(0, 0), &world.at(0, 1)}, POISON);
 	world.cut_domains.clear();
 	world.run_until(10100);
@@ -318,9 +321,10 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(Times, Struck,
-    ::testing::Values(StruckCase{"later", 20, 2000},
-	StruckCase{"at_once", 20, 20}, StruckCase{"at_once_slow", 150, 20}),
-    [](const ::testing::TestParamInfo<StruckCase> &info) {
+    ::testing::Values(CrashHistoryCase{"later", 20, 2000},
+	CrashHistoryCase{"at_once", 20, 20},
+	CrashHistoryCase{"at_once_slow", 150, 20}),
+    [](const ::testing::TestParamInfo<CrashHistoryCase> &info) {
 	    return std::string(info.param.name);
     });
 
--- a/tests/core/core_world.h
+++ b/tests/core/core_world.h
@@ -1,10 +1,10 @@
 /**
  * @file core_world.h
- * @brief A few whole cores joined by late messages, in virtual time.
+ * @brief Several complete cores joined by delayed messages, in virtual time.
  *
  * Not a cluster simulator: one queue of messages with a fixed delay, one
  * platform that answers after a fixed delay, backend servers that answer at
- * once. Cuts are sets of pairs.
+ * once. Partitions are sets of pairs.
  */
 #ifndef TESTS_CORE_CORE_WORLD_H
 #define TESTS_CORE_CORE_WORLD_H
@@ -35,7 +35,8 @@
 	std::vector<std::pair<uint64_t, int>> patch_answers;
 	std::vector<std::pair<uint64_t, jj_call_outcome_t>> call_answers;
 	std::map<uint64_t, jj_give_up_t> given_up;
-	std::vector<jj_ms_t> losses; /**< when VMs were taken for lost */
+	/** when this VM reported other VMs as lost */
+	std::vector<jj_ms_t> losses;
 	std::string status;
 };
 
@@ -48,8 +49,8 @@
 	FakePlatform platform;
 	std::vector<std::unique_ptr<WorldCore>> cores;
 	std::set<std::pair<std::string, std::string>> cut_domains;
-	bool cut_vms = false; /**< no VM hears another one */
-	jj_ms_t run_ms = 1; /**< how long a call runs at its server */
+	bool cut_vms = false; /**< no message arrives at any VM */
+	jj_ms_t run_ms = 1; /**< how long a call runs at its backend server */
 	/** Runs of non-idempotent calls at backend servers, by key. */
 	std::map<std::string, int> runs;
 	uint64_t messages = 0;
@@ -62,7 +63,7 @@
 				add(domain_name(d), v);
 		}
 		for (auto &core : cores)
-			greet(*core);
+			add_known_vms(*core);
 	}
 	~World()
 	{
@@ -98,13 +99,13 @@
 		jj_core_handle(at.core, &event, now, &out);
 		carry_out(at, &out);
 	}
-	/** A new process in place of the old one, which it knows nothing of. */
+	/** Replaces the process by a new one with empty memory. */
 	void
 	restart(WorldCore &core, uint64_t incarnation)
 	{
 		jj_core_destroy(core.core);
 		build(core, incarnation);
-		greet(core);
+		add_known_vms(core);
 	}
 	void
 	run_until(jj_ms_t until)
@@ -125,7 +126,7 @@
 			now++;
 		}
 	}
-	/** How many requests it refuses, as operators are told. */
+	/** Number of quarantined requests in the status for operators. */
 	int
 	quarantined(WorldCore &at)
 	{
@@ -193,11 +194,11 @@
 	std::priority_queue<Event> events;
 	uint64_t order = 0;
 	std::vector<Watch> watches;
-	/** By the VM that runs it and its number there. */
+	/** Keys of calls, by the VM that runs them and the run number there. */
 	std::map<std::pair<std::string, uint64_t>, std::string> run_keys;
 
 	void
-	later(jj_ms_t wait, std::function<void()> act)
+	schedule(jj_ms_t wait, std::function<void()> act)
 	{
 		events.push({now + wait, order++, std::move(act)});
 	}
@@ -242,9 +243,11 @@
 		    "leases/%s/orders", core.domain.c_str());
 		core.core = jj_core_create(&settings);
 	}
-	/** Each VM knows all of its domain and two of each other one. */
+	/**
+	 * Tells the core of all VMs of its domain and two of each other one.
+	 */
 	void
-	greet(WorldCore &core)
+	add_known_vms(WorldCore &core)
 	{
 		std::map<std::string, int> known;
 		jj_server_t server = {};
@@ -331,7 +334,7 @@
 		    cut_domains.count({from.domain, to->domain}) ||
 		    cut_domains.count({to->domain, from.domain}))
 			return;
-		later(message_ms, [this, to, owned] {
+		schedule(message_ms, [this, to, owned] {
 			jj_event_t event = {};
 			event.kind = JJ_EVENT_MESSAGE;
 			event.body.message = owned.get();
@@ -346,7 +349,7 @@
 
 		memset(&call->value, 0, sizeof(call->value));
 		at.platform_calls++;
-		later(platform_ms, [this, core, own]() mutable {
+		schedule(platform_ms, [this, core, own]() mutable {
 			if (core->cut_from_platform) {
 				answer_down(core, own);
 				return;
@@ -354,17 +357,17 @@
 			if (own.op == JJ_PLATFORM_WATCH) {
 				watches.push_back(
 				    {core, own, now + own.wait_ms});
-				look_at_watches();
+				answer_watches();
 				return;
 			}
 			jj_platform_result_t result = platform.execute(own);
 			answer(core, &result);
 			jj_platform_call_clear(&own);
-			look_at_watches();
+			answer_watches();
 		});
 		if (own.op == JJ_PLATFORM_WATCH)
-			later(own.wait_ms + platform_ms + 1,
-			    [this] { look_at_watches(); });
+			schedule(own.wait_ms + platform_ms + 1,
+			    [this] { answer_watches(); });
 	}
 	void
 	answer_down(WorldCore *core, jj_platform_call_t &call)
@@ -389,26 +392,26 @@
 		jj_platform_result_clear(result);
 	}
 	void
-	look_at_watches()
+	answer_watches()
 	{
 		std::vector<Watch> waiting;
 
 		waiting.swap(watches);
 		for (auto &watch : waiting) {
 			jj_platform_result_t result = {};
-			std::vector<std::pair<std::string, uint64_t>> news;
+			std::vector<std::pair<std::string, uint64_t>> changes;
 			uint64_t newest = watch.call.version;
 
 			for (auto &object : platform.objects) {
 				if (object.first.find(watch.call.key) != 0 ||
 				    object.second.version <= watch.call.version)
 					continue;
-				news.push_back(
+				changes.push_back(
 				    {object.first, object.second.version});
 				if (object.second.version > newest)
 					newest = object.second.version;
 			}
-			if (news.empty() && now < watch.until) {
+			if (changes.empty() && now < watch.until) {
 				watches.push_back(watch);
 				continue;
 			}
@@ -419,14 +422,14 @@
 			    ? JJ_PLATFORM_UNKNOWN
 			    : JJ_PLATFORM_OK;
 			result.version = newest;
-			result.item_count = news.size();
+			result.item_count = changes.size();
 			result.items = (jj_platform_item_t *)jj_alloc(
-			    news.size() * sizeof(*result.items));
-			for (size_t i = 0; i < news.size(); i++) {
+			    changes.size() * sizeof(*result.items));
+			for (size_t i = 0; i < changes.size(); i++) {
 				snprintf(result.items[i].key,
 				    sizeof(result.items[i].key), "%s",
-				    news[i].first.c_str());
-				result.items[i].version = news[i].second;
+				    changes[i].first.c_str());
+				result.items[i].version = changes[i].second;
 			}
 			answer(watch.core, &result);
 		}
@@ -437,7 +440,7 @@
 		WorldCore *core = &at;
 
 		runs[run_keys[{at.name, start.request}]]++;
-		later(run_ms, [this, core, start] {
+		schedule(run_ms, [this, core, start] {
 			static char body[] = "{\"ok\":1}";
 			jj_event_t event = {};
 			event.kind = JJ_EVENT_BACKEND;
--- a/tests/core/event_stream_test.cc
+++ b/tests/core/event_stream_test.cc
@@ -1,6 +1,6 @@
 /**
  * @file event_stream_test.cc
- * @brief Whole events in their order, and nothing else.
+ * @brief Only complete events in sequence are returned.
  */
 #include <string>
 #include <vector>
@@ -16,9 +16,9 @@
 
 struct StreamCase {
 	const char *name;
-	int64_t last_id; /**< behind which the run goes on */
+	int64_t last_id; /**< event after which the run resumes */
 	const char *bytes;
-	const char *passed; /**< what is handed out */
+	const char *passed; /**< bytes of the events returned */
 	jj_event_found_t end;
 	bool rest;
 };
@@ -46,7 +46,7 @@
 	}
 };
 
-TEST_P(EventStream, HandsOutWhatFollowsOn)
+TEST_P(EventStream, ReturnsEventsInSequence)
 {
 	jj_event_stream_begin(&stream, GetParam().last_id);
 	feed(GetParam().bytes);
@@ -55,8 +55,8 @@
 	EXPECT_EQ(GetParam().rest, jj_event_stream_has_rest(&stream));
 }
 
-/* Whatever the pieces in which bytes come, the same is handed out. */
-TEST_P(EventStream, DoesNotCareHowBytesCome)
+/* The result does not depend on how the bytes are split. */
+TEST_P(EventStream, ResultDoesNotDependOnSplits)
 {
 	jj_event_stream_begin(&stream, GetParam().last_id);
 	for (const char *at = GetParam().bytes; *at != '\0'; at++)
@@ -75,9 +75,9 @@
 	StreamCase{"FromOne", -1, E1 E2, E1 E2, JJ_EVENT_MORE, false},
 	StreamCase{"CutInside", -1, E0 "id: 1\nda", E0, JJ_EVENT_MORE, true},
 	StreamCase{"GoesOn", 1, E2 E3, E2 E3, JJ_EVENT_MORE, false},
-	/* A server that was asked to go on began anew. */
+	/* A server that was to resume the run restarted it. */
 	StreamCase{"BeganAnew", 1, E0 E1, "", JJ_EVENT_FOREIGN, true},
-	/* A second run stands behind the first, in one answer. */
+	/* A second run follows the first in one answer. */
 	StreamCase{"TwoRuns", -1, E0 E1 E0 E1, E0 E1, JJ_EVENT_FOREIGN, true},
 	StreamCase{"Gap", -1, E0 E2, E0, JJ_EVENT_FOREIGN, true},
 	StreamCase{"Repeat", -1, E0 E0, E0, JJ_EVENT_FOREIGN, true},
--- a/tests/core/fake_platform.h
+++ b/tests/core/fake_platform.h
@@ -1,10 +1,10 @@
 /**
  * @file fake_platform.h
- * @brief The platform's object API in memory, with faults on request.
+ * @brief In-memory implementation of the platform's object API, with faults.
  *
- * execute() carries out one call at once. run() carries out the platform
- * calls of an action list, brings the results back, and goes on until there
- * are none left; the other actions stay in the list.
+ * execute() carries out one call at once. run() carries out the platform calls
+ * of an action list and passes the results on, until none is left; the other
+ * actions stay in the list.
  */
 #ifndef JJ_TESTS_CORE_FAKE_PLATFORM_H
 #define JJ_TESTS_CORE_FAKE_PLATFORM_H
@@ -20,14 +20,18 @@
 #include "core/platform_call.h"
 }
 
-/** How the platform treats a call. */
+/** Fault that a platform call meets. */
 enum class Fault {
 	kNone,
-	kRefuse, /**< DOWN: surely not done */
-	kLimit, /**< LIMITED: surely not done */
+	kRefuse, /**< DOWN: not done */
+	kLimit, /**< LIMITED: not done */
 	kNoAnswer, /**< UNKNOWN: not done */
 	kLoseAnswer, /**< UNKNOWN: a write takes effect first */
-	kConflict, /**< CONFLICT after the effect: a repeat below us */
+	/**
+	 * CONFLICT after the write took effect, as when a lower layer repeats
+	 * it
+	 */
+	kConflict,
 };
 
 class FakePlatform
@@ -42,13 +46,15 @@
 
 	std::map<std::string, Object> objects;
 	uint64_t revision = 0;
-	/** Each call from now on meets this fault. */
+	/** Fault of each call from now on. */
 	Fault fault = Fault::kNone;
-	/** Faults of the next writes, in order; go before `fault`. */
+	/** Faults of the next writes, in order; override `fault`. */
 	std::vector<Fault> next_writes;
-	/** Faults of the next reads, in order; go before `fault`. */
+	/** Faults of the next reads, in order; override `fault`. */
 	std::vector<Fault> next_reads;
-	/** Called before each call takes effect: another writer's moment. */
+	/**
+	 * Called before each call takes effect, e.g. to let another writer act.
+	 */
 	std::function<void(const jj_platform_call_t &)> before;
 	jj_ms_t retry_after_ms = 0;
 	int writes = 0;
@@ -155,7 +161,10 @@
 	{
 		if (is_write(call)) {
 			result->outcome = write(call, &result->version);
-			/* A call that names a version gets the object. */
+			/*
+			 * A conflict of a call with a version returns the
+			 * object.
+			 */
 			if (result->outcome == JJ_PLATFORM_CONFLICT &&
 			    call.op != JJ_PLATFORM_CREATE)
 				get_value(call, result);
--- a/tests/core/ledger_model_test.cc
+++ b/tests/core/ledger_model_test.cc
@@ -1,13 +1,14 @@
 /**
  * @file ledger_model_test.cc
- * @brief At most once under many interleavings of three real ledgers.
+ * @brief Checks at-most-once runs over many interleavings of three real
+ * ledgers.
  *
  * A driver sends one order under one key, and again through other VMs, while
  * messages are delivered, lost, repeated and reordered, platform writes lose
- * their answers, VMs take each other for dead (wrongly too) and are
- * replaced. In some order of these the order could be booked twice, or the
- * driver be told "not run" of a booked one. After each step it is checked
- * that neither has happened. VMs that get no event are frozen ones.
+ * their answers, VMs consider each other lost (also wrongly) and are replaced.
+ * Some interleaving of these could book the order twice, or answer "not run"
+ * for a booked one. Both are checked after each step. A VM that gets no event
+ * represents a paused one.
  */
 #include <gtest/gtest.h>
 
@@ -29,7 +30,7 @@
 constexpr uint64_t KEY = 5;
 constexpr int VMS = 3;
 constexpr size_t CALLS_MAX = 6;
-constexpr size_t MAIL_CHOICES = 6;
+constexpr size_t MESSAGE_CHOICES = 6;
 
 enum Kind {
 	DELIVER,
@@ -41,7 +42,7 @@
 	PLATFORM_NOT_DONE,
 	TICK,
 	SUSPECT,
-	HEAR_ALL,
+	HEARTBEATS_FROM_ALL,
 	CALL,
 	CALL_FORWARDED,
 	END_DONE,
@@ -55,12 +56,12 @@
 	int b;
 };
 
-/** The world with what the events need, and the invariants. */
+/** The world, the state that the events need, and the invariants. */
 struct Model : World {
 	int home;
 	int witness;
-	std::set<uint64_t> refused; /**< calls told that they did not run */
-	std::set<uint64_t> not_sent; /**< runs that ended without sending */
+	std::set<uint64_t> refused; /**< calls answered as not run */
+	std::set<uint64_t> not_sent; /**< runs that ended as not run */
 	size_t answers_seen[VMS] = {};
 	size_t runs_seen = 0;
 	size_t calls = 0;
@@ -71,7 +72,7 @@
 		static World first(VMS);
 		static const jj_ledger_table_t table = FirstTable(first);
 
-		silence_drops_mail = false;
+		suspicion_drops_messages = false;
 		value = first.value;
 		version = first.version;
 		for (int vm = 0; vm < VMS; vm++)
@@ -82,8 +83,9 @@
 	}
 
 	/**
-	 * Incarnations count from the same number in each world. The other
-	 * slots belong to nobody here, so that no time goes into them.
+	 * Incarnations count from the same number in each world, so the table
+	 * fits all. The other slots belong to a VM that does not exist, so that
+	 * no time is spent on them.
 	 */
 	static jj_ledger_table_t
 	FirstTable(World &world)
@@ -104,7 +106,7 @@
 		return table;
 	}
 
-	/** Spares reading JSON at the start of each sequence. */
+	/** Avoids parsing JSON at the start of each sequence. */
 	void
 	Adopt(int i, const jj_ledger_table_t &table)
 	{
@@ -117,17 +119,17 @@
 	}
 
 	std::vector<Event>
-	Enabled(size_t letters_max = MAIL_CHOICES)
+	Enabled(size_t messages_max = MESSAGE_CHOICES)
 	{
 		std::vector<Event> events;
-		int letters = (int)std::min(mail.size(), letters_max);
+		int messages = (int)std::min(in_transit.size(), messages_max);
 
-		for (int i = 0; i < letters; i++) {
+		for (int i = 0; i < messages; i++) {
 			events.push_back({DELIVER, i, 0});
 			events.push_back({DROP, i, 0});
-			if (mail[i].message->kind == JJ_MESSAGE_INTENT ||
-			    mail[i].message->kind == JJ_MESSAGE_CALL ||
-			    mail[i].message->kind == JJ_MESSAGE_RESOLVE)
+			if (in_transit[i].message->kind == JJ_MESSAGE_INTENT ||
+			    in_transit[i].message->kind == JJ_MESSAGE_CALL ||
+			    in_transit[i].message->kind == JJ_MESSAGE_RESOLVE)
 				events.push_back({REPEAT, i, 0});
 		}
 		for (int i = 0; i < VMS; i++)
@@ -154,7 +156,7 @@
 				events->push_back({SUSPECT, i, j});
 		if (std::count(vms[i]->silenced.begin(), vms[i]->silenced.end(),
 			true) > 0)
-			events->push_back({HEAR_ALL, i, 0});
+			events->push_back({HEARTBEATS_FROM_ALL, i, 0});
 		if (calls < CALLS_MAX) {
 			events->push_back({CALL, i, 0});
 			events->push_back({CALL_FORWARDED, (i + 1) % VMS, i});
@@ -174,7 +176,7 @@
 			Deliver(event.a, event.kind == REPEAT);
 			break;
 		case DROP:
-			mail.erase(mail.begin() + event.a);
+			in_transit.erase(in_transit.begin() + event.a);
 			break;
 		case PLATFORM_OK:
 			AnswerPlatform(event.a, JJ_PLATFORM_OK);
@@ -193,13 +195,16 @@
 			Tick(event.a);
 			break;
 		case SUSPECT:
-			/* Long silence, as this VM sees it; mail still comes:
-			 * it may have been under way. */
+			/*
+			 * This VM sees no heartbeats of the other for long;
+			 * messages still arrive, as they may have been in
+			 * transit.
+			 */
 			vm.silenced[event.b] = true;
 			vm.heard[event.b] = now - 10 * TAKEOVER_MS;
 			Wake(event.a);
 			break;
-		case HEAR_ALL:
+		case HEARTBEATS_FROM_ALL:
 			vm.silenced.assign(VMS, false);
 			break;
 		case CALL:
@@ -227,7 +232,7 @@
 		SettleAnswers();
 	}
 
-	/** Lets a VM do its duties as if it had run all the time. */
+	/** Runs the periodic work of a VM as if it had run all the time. */
 	void
 	Wake(int i)
 	{
@@ -242,40 +247,44 @@
 	void
 	PostCall(int from, int to)
 	{
-		Mail letter = {from, to,
+		Message queued = {from, to,
 		    Own(static_cast<jj_message_t *>(
 			jj_alloc(sizeof(jj_message_t))))};
 
-		letter.message->kind = JJ_MESSAGE_CALL;
-		letter.message->from = vms[from]->name;
-		letter.message->incarnation = vms[from]->incarnation;
-		letter.message->body.call.call = next_call++;
-		letter.message->body.call.key = {KEY, KEY + 1};
-		letter.message->body.call.fingerprint = 7;
-		letter.message->body.call.budget_ms = 10000;
-		mail.push_back(letter);
+		queued.message->kind = JJ_MESSAGE_CALL;
+		queued.message->from = vms[from]->name;
+		queued.message->incarnation = vms[from]->incarnation;
+		queued.message->body.call.call = next_call++;
+		queued.message->body.call.key = {KEY, KEY + 1};
+		queued.message->body.call.fingerprint = 7;
+		queued.message->body.call.budget_ms = 10000;
+		in_transit.push_back(queued);
 	}
 
 	void
 	DeliverAll()
 	{
-		while (!mail.empty())
+		while (!in_transit.empty())
 			Deliver(0);
 	}
 
-	/** Answers change no ledger: they need no choice. */
+	/**
+	 * Delivers answers at once: they change no ledger, so their order does
+	 * not matter.
+	 */
 	void
 	SettleAnswers()
 	{
-		for (size_t i = 0; i < mail.size();) {
-			if (mail[i].message->kind == JJ_MESSAGE_CALL_ANSWER)
+		for (size_t i = 0; i < in_transit.size();) {
+			if (in_transit[i].message->kind ==
+			    JJ_MESSAGE_CALL_ANSWER)
 				Deliver(i);
 			else
 				i++;
 		}
 	}
 
-	/** The first broken invariant, or empty. */
+	/** The first violated invariant, or empty. */
 	std::string
 	Check()
 	{
@@ -302,7 +311,9 @@
 		return "";
 	}
 
-	/** What matters of the state, for leaving out what was seen. */
+	/**
+	 * Digest of the relevant state, to skip states that were seen before.
+	 */
 	size_t
 	Digest()
 	{
@@ -333,23 +344,23 @@
 				text << silent;
 			text << '/';
 		}
-		for (auto &letter : mail) {
-			const auto &body = letter.message->body;
+		for (auto &queued : in_transit) {
+			const auto &body = queued.message->body;
 
-			text << letter.from << letter.to << letter.message->kind
-			     << letter.message->incarnation;
-			if (letter.message->kind == JJ_MESSAGE_INTENT)
+			text << queued.from << queued.to << queued.message->kind
+			     << queued.message->incarnation;
+			if (queued.message->kind == JJ_MESSAGE_INTENT)
 				text << body.intent.epoch << '.'
 				     << body.intent.record.attempt;
-			else if (letter.message->kind == JJ_MESSAGE_RESOLVE)
+			else if (queued.message->kind == JJ_MESSAGE_RESOLVE)
 				text << body.resolve.epoch << '.'
 				     << body.resolve.removed
 				     << body.resolve.record.attempt;
-			else if (letter.message->kind == JJ_MESSAGE_INTENT_ACK)
+			else if (queued.message->kind == JJ_MESSAGE_INTENT_ACK)
 				text << body.intent_ack.epoch << '.'
 				     << body.intent_ack.attempt
 				     << body.intent_ack.accepted;
-			else if (letter.message->kind == JJ_MESSAGE_SYNC)
+			else if (queued.message->kind == JJ_MESSAGE_SYNC)
 				text << body.sync.epoch;
 		}
 		return std::hash<std::string>()(text.str());
@@ -371,15 +382,15 @@
 	return text.str();
 }
 
-/** Where the search starts from: named beginnings of trouble. */
+/** A named start state of the search, in which a failure has begun. */
 struct Start {
 	const char *name;
 	void (*make)(Model &);
 };
 
-/** A new home without a witness, as VM @p i takes all others for dead. */
+/** Makes VM @p i home without a witness, as it suspects all others. */
 void
-GoAlone(Model &m, int i)
+BecomeHomeWithoutWitness(Model &m, int i)
 {
 	for (int j = 0; j < VMS; j++)
 		if (j != i && !m.vms[i]->silenced[j])
@@ -389,7 +400,7 @@
 	m.Do({TICK, i, 0});
 }
 
-/** Books the order at its home; the witness knows it. */
+/** Books the order at its home; the witness gets the outcome. */
 void
 Book(Model &m, int home)
 {
@@ -399,7 +410,7 @@
 	m.DeliverAll();
 }
 
-/** The home gives up an attempt whose acknowledgement is late. */
+/** The home abandons an attempt whose acknowledgement is late. */
 void
 LoseOneAttempt(Model &m)
 {
@@ -409,7 +420,7 @@
 		m.Do({TICK, m.home, 0});
 }
 
-/** The witness is about to take over, and sees nobody else. */
+/** The witness is about to take over, and suspects all others. */
 void
 BeginTakeover(Model &m)
 {
@@ -459,8 +470,8 @@
 	[](Model &m) {
 		LoseOneAttempt(m);
 		m.Do({CALL, m.home, 0});
-		m.Do({DELIVER, (int)m.mail.size() - 1, 0});
-		m.Do({DELIVER, (int)m.mail.size() - 1, 0});
+		m.Do({DELIVER, (int)m.in_transit.size() - 1, 0});
+		m.Do({DELIVER, (int)m.in_transit.size() - 1, 0});
 		BeginTakeover(m);
 	}},
     {"deposed twice",
@@ -470,7 +481,7 @@
 		m.Do({SUSPECT, m.witness, m.home});
 		m.Do({PLATFORM_OK, m.witness, 0});
 		m.DeliverAll();
-		GoAlone(m, third);
+		BecomeHomeWithoutWitness(m, third);
 		m.DeliverAll();
 		m.vms[m.home]->frozen = false;
 		m.Do({CALL, third, 0});
@@ -520,26 +531,26 @@
 };
 
 /*
- * Each sequence of events up to a depth, states seen before left out;
+ * Tries each sequence of events up to a depth, skipping states seen before;
  * JUJUBE_MODEL_SEQUENCES sets how many are tried from each start.
  */
 TEST_P(LedgerModel, AllShortSequences)
 {
 	constexpr size_t DEPTH = 3;
-	const char *wider = getenv("JUJUBE_MODEL_SEQUENCES");
-	const size_t most =
-	    wider != nullptr ? strtoul(wider, nullptr, 10) : 600;
+	const char *setting = getenv("JUJUBE_MODEL_SEQUENCES");
+	const size_t max_tried =
+	    setting != nullptr ? strtoul(setting, nullptr, 10) : 600;
 	std::vector<std::vector<Event>> level = {{}};
 	std::unordered_set<size_t> seen;
 	size_t tried = 0;
-	size_t whole = 0;
+	size_t complete_depth = 0;
 
-	for (size_t depth = 0; depth <= DEPTH && tried < most; depth++) {
+	for (size_t depth = 0; depth <= DEPTH && tried < max_tried; depth++) {
 		std::vector<std::vector<Event>> next;
 		for (auto &sequence : level) {
 			Model model;
 			std::string broken;
-			if (tried >= most)
+			if (tried >= max_tried)
 				break;
 			tried++;
 			GetParam().make(model);
@@ -556,14 +567,14 @@
 			}
 		}
 		level = std::move(next);
-		if (tried < most)
-			whole = depth;
+		if (tried < max_tried)
+			complete_depth = depth;
 	}
 	printf("start=\"%s\" sequences=%zu states=%zu whole-depth=%zu\n",
-	    GetParam().name, tried, seen.size(), whole);
+	    GetParam().name, tried, seen.size(), complete_depth);
 }
 
-/** How often an event is drawn; faults are rarer than getting on. */
+/** Relative frequency of an event; faults are rarer than progress. */
 int
 Weight(const Event &event)
 {
@@ -573,7 +584,7 @@
 	case CALL:
 		return 12;
 	case TICK:
-	case HEAR_ALL:
+	case HEARTBEATS_FROM_ALL:
 	case CALL_FORWARDED:
 	case SUSPECT:
 	case END_DONE:
@@ -585,15 +596,15 @@
 	}
 }
 
-/** The VM that an event happens at, or -1. */
+/** The VM at which an event happens, or -1. */
 int
-Place(const Model &model, const Event &event)
+VmOf(const Model &model, const Event &event)
 {
 	switch (event.kind) {
 	case DELIVER:
 	case DROP:
 	case REPEAT:
-		return model.mail[event.a].to;
+		return model.in_transit[event.a].to;
 	case CALL_FORWARDED:
 		return event.b;
 	case END_DONE:
@@ -607,15 +618,15 @@
 Event
 Draw(Model &model, int frozen, std::mt19937 &random)
 {
-	std::vector<Event> events = model.Enabled(model.mail.size());
+	std::vector<Event> events = model.Enabled(model.in_transit.size());
 	int total = 0;
 
 	for (auto &event : events)
-		if (Place(model, event) != frozen)
+		if (VmOf(model, event) != frozen)
 			total += Weight(event);
 	int drawn = (int)(random() % (unsigned)total);
 	for (auto &event : events) {
-		if (Place(model, event) == frozen)
+		if (VmOf(model, event) == frozen)
 			continue;
 		drawn -= Weight(event);
 		if (drawn < 0)
@@ -625,16 +636,16 @@
 }
 
 /*
- * Long sequences by fixed seeds. In each stretch of a walk one VM may be
- * frozen: nothing happens at it, its mail waits and comes late.
+ * Long random sequences with fixed seeds. In each section of a walk one VM may
+ * be frozen: no event happens at it, and its messages arrive late.
  */
 TEST_P(LedgerModel, LongSequences)
 {
-	const char *wider = getenv("JUJUBE_MODEL_WALKS");
+	const char *setting = getenv("JUJUBE_MODEL_WALKS");
 	const unsigned seeds =
-	    wider != nullptr ? (unsigned)strtoul(wider, nullptr, 10) : 100;
+	    setting != nullptr ? (unsigned)strtoul(setting, nullptr, 10) : 100;
 	constexpr size_t STEPS = 80;
-	constexpr size_t STRETCH = 20;
+	constexpr size_t SECTION_STEPS = 20;
 	size_t ran = 0;
 
 	for (unsigned seed = 0; seed < seeds; seed++) {
@@ -644,7 +655,7 @@
 		int frozen = -1;
 		GetParam().make(model);
 		for (size_t step = 0; step < STEPS; step++) {
-			if (step % STRETCH == 0)
+			if (step % SECTION_STEPS == 0)
 				frozen = (int)(random() % (VMS + 1)) - 1;
 			done.push_back(Draw(model, frozen, random));
 			model.Do(done.back());
--- a/tests/core/ledger_records_test.cc
+++ b/tests/core/ledger_records_test.cc
@@ -1,6 +1,6 @@
 /**
  * @file ledger_records_test.cc
- * @brief Memory of the answers that the ledger keeps for replays.
+ * @brief Bound on the memory of the answers that the ledger stores.
  */
 #include <gtest/gtest.h>
 
@@ -12,9 +12,9 @@
 {
 
 /*
- * A night of large answers to bookings, each kept for hours: the VM's memory
- * grows until it is killed, and with it the history of its keys. The record
- * must stay, its answer need not.
+ * Many large answers to bookings, each kept for hours, would let the memory of
+ * the VM grow until the process is killed, and the history of its keys with it.
+ * The records must stay; the answers need not.
  */
 TEST(LedgerRecordsFailure, AnswersAreBoundedRecordsAreNot)
 {
--- a/tests/core/ledger_test.cc
+++ b/tests/core/ledger_test.cc
@@ -1,6 +1,6 @@
 /**
  * @file ledger_test.cc
- * @brief The ledger's behaviours and failure stories, in tables.
+ * @brief Behaviour of the ledger without and with failures, as tables of cases.
  */
 #include <gtest/gtest.h>
 
@@ -29,7 +29,7 @@
 		third = 3 - home - witness;
 	}
 
-	/** All VMs but one take no part for this long. */
+	/** Freezes VM @p i and lets the others run for this time. */
 	void
 	Without(int i, jj_ms_t time)
 	{
@@ -41,15 +41,15 @@
 struct Step {
 	const char *name;
 	std::function<void(Steady &)> act;
-	int outcome; /**< of the last answer at the asking VM */
-	int runs; /**< of the key, over all VMs */
+	int outcome; /**< last answer at the VM that was called */
+	int runs; /**< runs of the key, on all VMs */
 };
 
 class LedgerCall : public testing::TestWithParam<Step>
 {
 };
 
-/* One call, or one after another, while nothing fails. */
+/* One call, or several in sequence, without failures. */
 TEST_P(LedgerCall, Ends)
 {
 	Steady world;
@@ -137,7 +137,7 @@
 	jj_bytes_free(&again);
 }
 
-TEST(LedgerTable, RefusesWhatIsNotWhole)
+TEST(LedgerTable, RefusesIncompleteTables)
 {
 	const char *cases[] = {"", "x", "{}", "{\"slots\":[]}",
 	    "{\"slots\":7,\"writer\":\"a\",\"operation\":\"1\"}"};
@@ -154,12 +154,12 @@
 };
 
 /*
- * A driver books pallets; something fails while the call is under way, and
- * he sends the same order again, through another VM. In the order of each
- * case below the successor of the slot could run the order a second time, or
- * say that it was not run although it was.
+ * A driver books pallets; something fails while the call is in progress, and
+ * the same order is sent again through another VM. In each case below the new
+ * home of the slot could run the order a second time, or answer that it was not
+ * run although it was.
  */
-TEST_P(LedgerFailure, RunsOnceAndSaysTheTruth)
+TEST_P(LedgerFailure, RunsOnceAndAnswersTruthfully)
 {
 	Steady world;
 
@@ -173,7 +173,9 @@
 
 INSTANTIATE_TEST_SUITE_P(Stories, LedgerFailure,
     testing::Values(
-	/* The home dies while the order runs: nobody learns how it ended. */
+	/*
+	 * The home fails while the order runs: its outcome cannot be learned.
+	 */
 	Step{"HomeDiesInMidRun",
 	    [](Steady &w) {
 		    w.Call(w.home, KEY);
@@ -182,7 +184,7 @@
 		    w.Call(w.witness, KEY);
 	    },
 	    JJ_CALL_UNKNOWN, 1},
-	/* It dies after the end: the witness knows the answer. */
+	/* It fails after the run ended: the witness has the answer. */
 	Step{"HomeDiesAfterTheEnd",
 	    [](Steady &w) {
 		    RunOnce(w, JJ_CALL_DONE);
@@ -190,7 +192,7 @@
 		    w.Call(w.witness, KEY);
 	    },
 	    JJ_CALL_REPLAYED, 1},
-	/* A home is frozen, deposed, wakes, and is asked for a new key. */
+	/* A paused home is deposed, resumes, and gets a call with a new key. */
 	Step{"FrozenHomeWakes",
 	    [](Steady &w) {
 		    w.Without(w.home, 10000);
@@ -203,7 +205,7 @@
 		    w.Settle();
 	    },
 	    JJ_CALL_NO_HISTORY, 1},
-	/* The witness's word comes when the driver has given up. */
+	/* The witness acknowledges after the call's deadline. */
 	Step{"AcknowledgedTooLate",
 	    [](Steady &w) {
 		    w.Call(w.home, KEY, -1, 7, 500);
@@ -212,23 +214,29 @@
 		    w.Settle();
 	    },
 	    JJ_CALL_NOT_RUN, 0},
-	/* A long run's end is lost, its home dies much later. */
+	/*
+	 * Both messages with the outcome of a long run are lost; its home fails
+	 * much later.
+	 */
 	Step{"WordOfTheEndLost",
 	    [](Steady &w) {
 		    w.Call(w.home, KEY);
 		    w.Settle();
 		    w.Advance(RETENTION_MS / 2, 1000);
 		    w.End(JJ_CALL_DONE);
-		    w.mail.clear();
+		    w.in_transit.clear();
 		    w.now += 1200;
 		    w.Tick(w.home);
-		    w.mail.clear();
+		    w.in_transit.clear();
 		    w.Advance(RETENTION_MS * 6 / 10, 1000);
 		    w.Without(w.home, 10000);
 		    w.Call(w.witness, KEY);
 	    },
 	    JJ_CALL_UNKNOWN, 1},
-	/* The same, but only its wait for the witness ends. */
+	/*
+	 * A deposed home that is cut off learns nothing of it: only its wait
+	 * for the witness times out.
+	 */
 	Step{"DeposedHomeIsCutOff",
 	    [](Steady &w) {
 		    w.vms[w.home]->silenced.assign(3, true);
@@ -244,14 +252,17 @@
 		    w.Advance(2000);
 	    },
 	    JJ_CALL_NO_HISTORY, 1},
-	/* The home alone is left: it goes on by the platform's word. */
+	/*
+	 * Only the home is left: it runs calls after a conditional update
+	 * removed the witness.
+	 */
 	Step{"WitnessDies",
 	    [](Steady &w) {
 		    w.Without(w.witness, 10000);
 		    RunOnce(w, JJ_CALL_DONE);
 	    },
 	    JJ_CALL_DONE, 1},
-	/* Witness lost, platform down: no call may be begun. */
+	/* Witness lost, platform down: no call may start. */
 	Step{"WitnessDiesInAnOutage",
 	    [](Steady &w) {
 		    w.platform_down = true;
@@ -260,7 +271,7 @@
 		    w.Advance(2000);
 	    },
 	    JJ_CALL_NO_HISTORY, 0},
-	/* Both live, platform down: nothing is refused. */
+	/* Home and witness live, platform down: no call is refused. */
 	Step{"OutageAlone",
 	    [](Steady &w) {
 		    w.platform_down = true;
@@ -280,7 +291,9 @@
 		    w.Settle();
 	    },
 	    JJ_CALL_NO_HISTORY, 1},
-	/* Both are silent: a freeze is no death, so nobody takes over. */
+	/*
+	 * No heartbeats from either: they may be paused, so no VM takes over.
+	 */
 	Step{"BothSilent",
 	    [](Steady &w) {
 		    w.vms[w.witness]->frozen = true;
@@ -297,9 +310,9 @@
     [](const auto &info) { return std::string(info.param.name); });
 
 /*
- * A VM forwards an order to its home, which refuses it; the driver is told
- * "not run". Then a late copy of the forwarded message arrives. If it ran,
- * the driver would own pallets that he was told he had not booked.
+ * A VM forwards an order to its home, which refuses it; the driver gets "not
+ * run". Then a late copy of the forwarded message arrives. If it ran, the order
+ * would be booked although the driver was told otherwise.
  */
 TEST(LedgerForward, RefusedCallIsNotRunByItsCopy)
 {
@@ -316,7 +329,7 @@
 	EXPECT_EQ(world.RunCount(KEY), 1);
 }
 
-/* A copy of a call that is open brings neither a run nor an answer. */
+/* A copy of a call that is open causes neither a run nor an answer. */
 TEST(LedgerForward, CopyOfAnOpenCallIsIgnored)
 {
 	Steady world;
@@ -333,8 +346,8 @@
 }
 
 /*
- * An order is booked, then the old home's VM leaves by plan. No slot stays
- * with it, no call is cut off, and the heir knows the booked order.
+ * An order is booked, then the VM of its home leaves as planned. It keeps no
+ * slot, no call is aborted, and its successor knows the booked order.
  */
 TEST(LedgerLeave, HandsAllOver)
 {
@@ -353,17 +366,18 @@
 	world.End(JJ_CALL_DONE);
 	world.Advance(5000);
 	EXPECT_TRUE(jj_ledger_is_idle(vm.ledger));
-	int heir = world.Home(KEY);
-	EXPECT_NE(heir, world.home);
-	world.Call(heir, KEY);
-	EXPECT_EQ(world.Last(heir), JJ_CALL_REPLAYED);
-	world.Call(heir, KEY + 64);
-	EXPECT_EQ(world.Last(heir), JJ_CALL_REPLAYED);
+	int successor = world.Home(KEY);
+	EXPECT_NE(successor, world.home);
+	world.Call(successor, KEY);
+	EXPECT_EQ(world.Last(successor), JJ_CALL_REPLAYED);
+	world.Call(successor, KEY + 64);
+	EXPECT_EQ(world.Last(successor), JJ_CALL_REPLAYED);
 }
 
 /*
- * The history of a slot is lost for good; its keys are refused. After the
- * retention time no lost key can matter any more, and orders are taken again.
+ * The history of a slot is lost permanently; its keys are refused. After the
+ * retention time no lost key can matter any more, and orders are accepted
+ * again.
  */
 TEST(LedgerRelease, OperatorReopensTheSlot)
 {
@@ -385,32 +399,32 @@
 	EXPECT_EQ(world.RunCount(KEY), 1);
 }
 
-/* The store is full: new keys are refused, no old one is forgotten. */
+/* The store is full: new keys are refused, no stored key is removed. */
 TEST(LedgerBounds, FullStoreRefusesNewKeys)
 {
 	Steady world;
-	const int most = 1000;
+	const int record_max = 1000;
 
-	for (int i = 0; i < most + 5; i++) {
+	for (int i = 0; i < record_max + 5; i++) {
 		world.Call(world.home, KEY + 64 * (uint64_t)i);
 		world.Settle();
 		if (!world.open.empty())
 			world.End(JJ_CALL_DONE);
 		world.Settle();
 	}
-	EXPECT_EQ(world.runs.size(), (size_t)most);
+	EXPECT_EQ(world.runs.size(), (size_t)record_max);
 	EXPECT_EQ(world.Last(world.home), JJ_CALL_NO_HISTORY);
 	EXPECT_GT(world.vms[world.home]->answers.back().retry_after_ms, 0);
 	world.Call(world.home, KEY);
 	EXPECT_EQ(world.Last(world.home), JJ_CALL_REPLAYED);
-	/* More than one part: a new witness gets them all. */
+	/* More than one sync part: a new witness gets them all. */
 	world.Without(world.witness, 10000);
 	world.Without(world.home, 10000);
 	world.Call(world.third, KEY + 64 * 999);
 	EXPECT_EQ(world.Last(world.third), JJ_CALL_REPLAYED);
 }
 
-/* Slots spread over the VMs, and come back to a VM that was replaced. */
+/* Slots spread over the VMs, and return to a VM that was replaced. */
 TEST(LedgerBalance, SpreadsSlots)
 {
 	Steady world;
--- a/tests/core/ledger_world.h
+++ b/tests/core/ledger_world.h
@@ -1,6 +1,6 @@
 /**
  * @file ledger_world.h
- * @brief A few ledgers with a network, a platform and a clock in memory.
+ * @brief Several ledgers with an in-memory network, platform and clock.
  */
 #ifndef JJ_TESTS_LEDGER_WORLD_H
 #define JJ_TESTS_LEDGER_WORLD_H
@@ -31,7 +31,7 @@
 	return name;
 }
 
-/** Bytes that live as long as the test. */
+/** Wraps static text without a copy. */
 inline jj_bytes_t
 Text(const char *text)
 {
@@ -51,12 +51,12 @@
 	jj_incarnation_t incarnation;
 	uint64_t run;
 	uint64_t call;
-	uint64_t low; /**< of the key */
+	uint64_t low; /**< low half of the key hash */
 };
 
 struct World;
 
-/** One VM: a ledger and what it believes of the others. */
+/** One VM: a ledger and its view of the other VMs. */
 struct Vm {
 	World *world;
 	int index;
@@ -66,15 +66,18 @@
 	bool frozen = false; /**< neither ticks nor receives, stays alive */
 	bool gone = false;
 	bool leaving = false;
-	std::vector<jj_ms_t> heard; /**< of each VM, last */
-	std::vector<bool> silenced; /**< this VM is cut off from it */
+	/** time of the last heartbeat of each VM */
+	std::vector<jj_ms_t> heard;
+	/** VMs whose heartbeats do not reach this one */
+	std::vector<bool> silenced;
 	std::vector<jj_member_info_t> infos;
 	std::vector<Answer> answers;
-	std::vector<jj_platform_call_t> platform; /**< calls in flight */
+	/** platform calls in flight */
+	std::vector<jj_platform_call_t> platform;
 };
 
-/** A message under way. */
-struct Mail {
+/** A message in transit. */
+struct Message {
 	int from;
 	int to;
 	std::shared_ptr<jj_message_t> message;
@@ -83,8 +86,8 @@
 struct World {
 	jj_ms_t now = 0;
 	std::vector<std::unique_ptr<Vm>> vms;
-	std::deque<Mail> mail;
-	std::vector<Run> runs; /**< each run ever begun */
+	std::deque<Message> in_transit;
+	std::vector<Run> runs; /**< every run that was started */
 	std::vector<Run> open; /**< those that have not ended */
 	uint64_t version = 0;
 	std::string value;
@@ -92,7 +95,7 @@
 	jj_incarnation_t next_incarnation = 100;
 	uint64_t next_call = 1;
 	size_t record_max = 1000;
-	bool silence_drops_mail = true;
+	bool suspicion_drops_messages = true;
 
 	explicit World(int count)
 	{
@@ -118,7 +121,7 @@
 		}
 	}
 
-	/** A new process under the VM's name, without memory. */
+	/** Starts a new process under the name of the VM, with empty memory. */
 	void
 	Start(int i)
 	{
@@ -150,7 +153,9 @@
 		open = left;
 	}
 
-	/** Heartbeats, ticks, platform and mail, until all is quiet. */
+	/**
+	 * Runs heartbeats, ticks, platform calls and messages for this time.
+	 */
 	void
 	Advance(jj_ms_t time, jj_ms_t step = 250)
 	{
@@ -163,7 +168,7 @@
 		}
 	}
 
-	/** A tick, after the heartbeats told of newer tables. */
+	/** A tick, after heartbeats have announced newer tables. */
 	void
 	Tick(int i)
 	{
@@ -180,7 +185,7 @@
 	Settle()
 	{
 		for (bool busy = true; busy;) {
-			busy = !mail.empty();
+			busy = !in_transit.empty();
 			if (busy)
 				Deliver(0);
 			for (auto &vm : vms) {
@@ -194,7 +199,10 @@
 		}
 	}
 
-	/** Carries out one call; UNKNOWN: the answer is lost, done or not. */
+	/**
+	 * Carries out one platform call; UNKNOWN: the answer is lost, and the
+	 * call took effect if @p done is set.
+	 */
 	void
 	AnswerPlatform(int i, jj_platform_outcome_t wanted, bool done = true)
 	{
@@ -240,31 +248,34 @@
 		result->version = version;
 	}
 
-	/** Delivers mail number @p n, keeping it when it is to come again. */
+	/** Delivers message @p n; @p keep leaves a copy in transit. */
 	void
 	Deliver(size_t n, bool keep = false)
 	{
-		Mail letter = mail[n];
-		Vm &vm = *vms[letter.to];
+		Message queued = in_transit[n];
+		Vm &vm = *vms[queued.to];
 		jj_actions_t out = TAILQ_HEAD_INITIALIZER(out);
 
 		if (!keep)
-			mail.erase(mail.begin() + n);
-		/* As jj_member_accept: only of the confirmed incarnation. */
+			in_transit.erase(in_transit.begin() + n);
+		/*
+		 * As jj_member_accept: only messages of the confirmed
+		 * incarnation.
+		 */
 		if (vm.frozen || vm.gone ||
-		    (silence_drops_mail && vm.silenced[letter.from]) ||
-		    letter.message->incarnation !=
-			vms[letter.from]->incarnation)
+		    (suspicion_drops_messages && vm.silenced[queued.from]) ||
+		    queued.message->incarnation !=
+			vms[queued.from]->incarnation)
 			return;
-		if (letter.message->kind == JJ_MESSAGE_CALL)
-			jj_ledger_begin(vm.ledger, 0, &letter.message->from,
-			    &letter.message->body.call, now, &out);
-		else if (letter.message->kind == JJ_MESSAGE_CALL_ANSWER)
-			Note(letter.to, letter.message->body.call_answer);
+		if (queued.message->kind == JJ_MESSAGE_CALL)
+			jj_ledger_begin(vm.ledger, 0, &queued.message->from,
+			    &queued.message->body.call, now, &out);
+		else if (queued.message->kind == JJ_MESSAGE_CALL_ANSWER)
+			Note(queued.to, queued.message->body.call_answer);
 		else
 			jj_ledger_take_message(
-			    vm.ledger, letter.message.get(), now, &out);
-		Carry(letter.to, &out);
+			    vm.ledger, queued.message.get(), now, &out);
+		Carry(queued.to, &out);
 	}
 
 	void
@@ -290,13 +301,14 @@
 	void
 	Post(int i, jj_action_t *action)
 	{
-		Mail letter = {i, Find(action->body.send.to),
+		Message queued = {i, Find(action->body.send.to),
 		    Own(action->body.send.message)};
 
-		action->kind = JJ_ACTION_EVENT; /* the letter owns it now */
-		letter.message->from = vms[i]->name;
-		letter.message->incarnation = vms[i]->incarnation;
-		mail.push_back(letter);
+		/** the message is owned by the queue now */
+		action->kind = JJ_ACTION_EVENT;
+		queued.message->from = vms[i]->name;
+		queued.message->incarnation = vms[i]->incarnation;
+		in_transit.push_back(queued);
 	}
 
 	static std::shared_ptr<jj_message_t>
@@ -326,7 +338,10 @@
 		return -1;
 	}
 
-	/** A call with this key at VM @p i; @p from: forwarded by another. */
+	/**
+	 * Begins a call with this key at VM @p i; @p from: forwarded by that
+	 * VM.
+	 */
 	uint64_t
 	Call(int i, uint64_t low, int from = -1, uint64_t fingerprint = 7,
 	    jj_ms_t budget = 10000, uint64_t number = 0)
@@ -354,14 +369,14 @@
 		jj_actions_t out = TAILQ_HEAD_INITIALIZER(out);
 
 		if (open.empty())
-			return; /* the test's count of runs tells it */
+			return; /* the test's count of runs shows it */
 		open.erase(open.begin());
 		jj_ledger_end(vms[run.vm]->ledger, run.run, outcome,
 		    outcome == JJ_CALL_DONE ? 200 : 0, &bytes, 500, now, &out);
 		Carry(run.vm, &out);
 	}
 
-	/** The slot's home and witness as the platform has them. */
+	/** The slot's entry in the table at the platform. */
 	jj_ledger_slot_t
 	Slot(uint64_t low)
 	{
@@ -383,7 +398,7 @@
 		return Find(Slot(low).witness.name);
 	}
 
-	/** The last answer at VM @p i, or -1. */
+	/** The outcome of the last answer at VM @p i, or -1. */
 	int
 	Last(int i)
 	{
@@ -442,7 +457,7 @@
 	}
 
 	static size_t
-	OnList(void *ctx, jj_member_info_t *infos, size_t most)
+	OnList(void *ctx, jj_member_info_t *infos, size_t max)
 	{
 		Vm *vm = static_cast<Vm *>(ctx);
 		size_t count = 0;
@@ -450,7 +465,7 @@
 		for (auto &other : vm->world->vms) {
 			const jj_member_info_t *info =
 			    OnFind(ctx, &other->name);
-			if (info->live && !other->leaving && count < most)
+			if (info->live && !other->leaving && count < max)
 				infos[count++] = *info;
 		}
 		return count;
