--- a/src/core/core.c
+++ b/src/core/core.c
@@ -10,7 +10,7 @@
 #include <stdlib.h>
 
 #include "core/core.h"
-#include "core/core_news.h"
+#include "core/core_updates.h"
 #include "core/core_requests.h"
 #include "core/core_state.h"
 #include "core/core_status.h"
--- a/src/core/core_requests.c
+++ b/src/core/core_requests.c
@@ -5,7 +5,7 @@
 #include <stdio.h>
 #include <string.h>
 
-#include "core/core_news.h"
+#include "core/core_updates.h"
 #include "core/core_requests.h"
 #include "core/core_state.h"
 
--- a/src/core/core_news.c
+++ b/src/core/core_updates.c
@@ -1,12 +1,12 @@
 /**
- * @file core_news.c
+ * @file core_updates.c
  * @brief Updates between VMs: configuration, VM lists, job changes, crashes.
  */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
 
-#include "core/core_news.h"
+#include "core/core_updates.h"
 #include "core/core_state.h"
 #include "core/struck.h"
 
--- a/src/core/core_news.h
+++ b/src/core/core_updates.h
@@ -1,12 +1,12 @@
 /**
- * @file core_news.h
+ * @file core_updates.h
  * @brief Updates between VMs: configuration, VM lists, job changes, crashes.
  *
  * Private to the core. Updates that cannot be parsed are ignored: none of these
  * functions fails.
  */
-#ifndef JJ_CORE_CORE_NEWS_H
-#define JJ_CORE_CORE_NEWS_H
+#ifndef JJ_CORE_CORE_UPDATES_H
+#define JJ_CORE_CORE_UPDATES_H
 
 #include "core/core.h"
 
