--- a/src/core/message.h
+++ b/src/core/message.h
@@ -66,7 +66,7 @@
 	 * asks the receiver to call the platform, which the sender cannot reach
 	 */
 	JJ_MESSAGE_LEND,
-	JJ_MESSAGE_LENT, /**< the result of a LEND */
+	JJ_MESSAGE_LENT, /**< the result of such a call */
 	/** requests results of a job of the receiver, for a reader */
 	JJ_MESSAGE_JOB_READ,
 	/** the results, or none: read them from the platform */
