--- a/src/core/event_stream.h
+++ b/src/core/event_stream.h
@@ -29,7 +29,7 @@
 typedef enum {
 	JJ_EVENT_MORE, /**< no complete event yet: feed more bytes */
 	JJ_EVENT_WHOLE,
-	JJ_EVENT_FOREIGN, /**< an event out of sequence: the stream ends */
+	JJ_EVENT_FOREIGN, /**< not the next event: stop here */
 } jj_event_found_t;
 
 /** State of one stream; to be zeroed, then begun. */
--- a/src/core/ledger_plan.c
+++ b/src/core/ledger_plan.c
@@ -285,13 +285,13 @@
 {
 	const jj_ledger_t *ledger = view->ledger;
 	const jj_member_info_t *info;
-	jj_ms_t last_heard_ms = ledger->started_ms;
+	jj_ms_t last_seen_ms = ledger->started_ms;
 
 	info = ledger->port.find(ledger->port.ctx, &vm->name);
 	if (info != NULL && info->heard_ms != JJ_MS_NEVER &&
-	    info->heard_ms > last_heard_ms)
-		last_heard_ms = info->heard_ms;
-	return view->now - last_heard_ms > ledger->settings.takeover_ms;
+	    info->heard_ms > last_seen_ms)
+		last_seen_ms = info->heard_ms;
+	return view->now - last_seen_ms > ledger->settings.takeover_ms;
 }
 
 static bool
--- a/tests/core/core_world.h
+++ b/tests/core/core_world.h
@@ -54,7 +54,7 @@
 	/** Runs of non-idempotent calls at backend servers, by key. */
 	std::map<std::string, int> runs;
 	uint64_t messages = 0;
-	uint64_t calls_sent = 0; /**< messages that carry a whole call */
+	uint64_t calls_sent = 0; /**< CALL messages sent */
 
 	World(int domains, int vms)
 	{
@@ -244,7 +244,7 @@
 		core.core = jj_core_create(&settings);
 	}
 	/**
-	 * Tells the core of all VMs of its domain and two of each other one.
+	 * Adds all VMs of its domain to the core, and two of each other one.
 	 */
 	void
 	add_known_vms(WorldCore &core)
--- a/tests/core/ledger_model_test.cc
+++ b/tests/core/ledger_model_test.cc
@@ -201,7 +201,7 @@
 			 * transit.
 			 */
 			vm.silenced[event.b] = true;
-			vm.heard[event.b] = now - 10 * TAKEOVER_MS;
+			vm.last_heartbeat[event.b] = now - 10 * TAKEOVER_MS;
 			Wake(event.a);
 			break;
 		case HEARTBEATS_FROM_ALL:
@@ -292,7 +292,7 @@
 
 		for (; runs_seen < runs.size(); runs_seen++)
 			if (refused.count(runs[runs_seen].call))
-				return "ran a call that was told not run";
+				return "ran a call answered as not run";
 		for (auto &run : runs)
 			sent += run.low == KEY && !not_sent.count(run.call);
 		if (sent > 1)
@@ -303,7 +303,7 @@
 				auto &answer = answers[answers_seen[i]++];
 				if (answer.outcome == JJ_CALL_NOT_RUN &&
 				    sent > 0)
-					return "told not run, but it ran";
+					return "answered not run, but it ran";
 				if (answer.outcome == JJ_CALL_NOT_RUN ||
 				    answer.outcome == JJ_CALL_NO_HISTORY)
 					refused.insert(answer.call);
--- a/tests/core/ledger_test.cc
+++ b/tests/core/ledger_test.cc
@@ -164,10 +164,11 @@
 	Steady world;
 
 	GetParam().act(world);
-	int asked = world.vms[world.home]->frozen || world.vms[world.home]->gone
+	int callee =
+	    world.vms[world.home]->frozen || world.vms[world.home]->gone
 	    ? world.witness
 	    : world.home;
-	EXPECT_EQ(world.Last(asked), GetParam().outcome);
+	EXPECT_EQ(world.Last(callee), GetParam().outcome);
 	EXPECT_EQ(world.RunCount(KEY), GetParam().runs);
 }
 
@@ -312,7 +313,7 @@
 /*
  * A VM forwards an order to its home, which refuses it; the driver gets "not
  * run". Then a late copy of the forwarded message arrives. If it ran, the order
- * would be booked although the driver was told otherwise.
+ * would be booked after its refusal.
  */
 TEST(LedgerForward, RefusedCallIsNotRunByItsCopy)
 {
--- a/tests/core/ledger_world.h
+++ b/tests/core/ledger_world.h
@@ -67,7 +67,7 @@
 	bool gone = false;
 	bool leaving = false;
 	/** time of the last heartbeat of each VM */
-	std::vector<jj_ms_t> heard;
+	std::vector<jj_ms_t> last_heartbeat;
 	/** VMs whose heartbeats do not reach this one */
 	std::vector<bool> silenced;
 	std::vector<jj_member_info_t> infos;
@@ -104,7 +104,7 @@
 			vm->world = this;
 			vm->index = i;
 			vm->name = Name("vm-" + std::to_string(i));
-			vm->heard.assign(count, 0);
+			vm->last_heartbeat.assign(count, 0);
 			vm->silenced.assign(count, false);
 			vm->infos.resize(count);
 			vms.push_back(std::move(vm));
@@ -444,11 +444,11 @@
 			return nullptr;
 		Vm &other = *world->vms[i];
 		if (!world->IsSilent(*vm, i))
-			vm->heard[i] = world->now;
+			vm->last_heartbeat[i] = world->now;
 		jj_member_info_t &info = vm->infos[i];
 		info.name = *name;
 		info.incarnation = other.incarnation;
-		info.heard_ms = vm->heard[i];
+		info.heard_ms = vm->last_heartbeat[i];
 		info.live = !world->IsSilent(*vm, i);
 		info.state = other.leaving ? JJ_VM_LEAVING : JJ_VM_SERVING;
 		info.slots_version =
