--- a/tests/core/ledger_records_test.cc
+++ b/tests/core/ledger_records_test.cc
@@ -1,6 +1,6 @@
 /**
  * @file ledger_records_test.cc
- * @brief Memory of the answers that the ledger keeps for replays.
+ * @brief Bound on the memory of the answers that the ledger stores.
  */
 #include <gtest/gtest.h>
 
@@ -12,14 +12,14 @@
 {
 
 /*
- * A night of large answers to bookings, each kept for hours: the VM's memory
- * grows until it is killed, and with it the history of its keys. The record
- * must stay, its answer need not.
+ * Many large answers to bookings, each kept for hours, would let the memory of
+ * the VM grow until the process is killed, and the history of its keys with it.
+ * The records must stay; the answers need not.
  */
 TEST(LedgerRecordsFailure, AnswersAreBoundedRecordsAreNot)
 {
 	const size_t size = 8192;
-	const size_t fit = JJ_LEDGER_ANSWERS_MAX / size;
+	const size_t fit = JJ_LEDGER_ANSWER_BYTES_MAX / size;
 	jj_ledger_records_t *records = jj_ledger_records_create(1000);
 	std::string text(size, 'x');
 	jj_bytes_t answer = {text.data(), text.size()};
