--- a/src/daemon/health.c
+++ b/src/daemon/health.c
@@ -1,6 +1,6 @@
 /**
  * @file health.c
- * @brief Looks after backend servers: is the process alive, how loaded is it.
+ * @brief Health checks and load queries of backend servers.
  */
 #include <stdatomic.h>
 #include <stdio.h>
@@ -15,37 +15,39 @@
 #include "adapters/runtime.h"
 #include "daemon/health.h"
 
-/** A server that does not answer a look in this time is held for down. */
-#define LOOK_TIMEOUT_MS 500
-/** Longest time in which a look that was cut off is made again. */
-#define CUT_MOST_MS 500
-/** Largest answer to a look, bytes. */
-#define LOOK_MAX 2048
+/** Time limit of a health check, ms; after it the result is unknown. */
+#define PROBE_TIMEOUT_MS 500
+/** A check that was cut off is retried for at most this long, ms. */
+#define CUT_RETRY_MAX_MS 500
+/** Largest answer to a health check, bytes. */
+#define PROBE_ANSWER_MAX 2048
 
-typedef struct held {
-	STAILQ_ENTRY(held) link;
+/** An event that is held back until a health check has ended. */
+typedef struct deferred {
+	STAILQ_ENTRY(deferred) link;
 	void *event;
-	uint64_t needs; /**< the first look that began after the event */
-} held_t;
+	uint64_t min_probe; /**< first probe begun after the event */
+} deferred_t;
 
-/** What is known of one server. */
+/** State of one server. */
 typedef struct {
-	uint64_t boot; /**< of the process last seen, 0: none yet */
-	uint64_t looks; /**< looks begun so far */
-	bool looking; /**< the last of them is under way */
-	bool cut; /**< it was cut off after an attempt broke there */
-	jj_ms_t cut_ms; /**< the first that was */
+	uint64_t boot; /**< start id of the process last seen, 0: none yet */
+	uint64_t probes; /**< probes begun so far */
+	bool probing; /**< a probe is in progress */
+	bool cut; /**< the last probe was cut off, with events held back */
+	jj_ms_t first_cut_ms; /**< time of the first probe in a row that was */
 	char address[JJ_NAME_MAX + 1];
-	STAILQ_HEAD(, held) held;
+	STAILQ_HEAD(, deferred) deferred;
 } record_t;
 
+/** A health check in progress. */
 typedef struct {
 	jj_health_watch_t *watch;
 	jj_name_t server;
 	bool with_load;
-	char answer[LOOK_MAX];
+	char answer[PROBE_ANSWER_MAX];
 	size_t size;
-} look_t;
+} probe_t;
 
 struct jj_health_watch {
 	jj_health_port_t port;
@@ -53,20 +55,20 @@
 	apr_pool_t *pool;
 	apr_thread_mutex_t *lock; /**< guards records */
 	GHashTable *records;
-	atomic_bool has_cut; /**< a record may be cut */
+	atomic_bool has_cut; /**< some record may have `cut` set */
 };
 
-static record_t *find_record(jj_health_watch_t *, const jj_name_t *);
-static bool begin_look(record_t *);
+static record_t *find_or_add_record(jj_health_watch_t *, const jj_name_t *);
+static bool begin_probe(record_t *);
 static void
-start_look(jj_health_watch_t *, const jj_name_t *, const char *, bool);
+send_probe(jj_health_watch_t *, const jj_name_t *, const char *, bool);
 static jj_http_flow_t on_data(void *, const char *, size_t);
 static void on_end(void *, jj_http_end_t, const jj_http_head_t *);
 static jj_health_t
-judge(look_t *, jj_http_end_t, const jj_http_head_t *, uint64_t *);
-static void note_cut(jj_health_watch_t *, record_t *, bool);
-static void tell_load(const look_t *, const json_t *);
-static void release(jj_health_watch_t *, const jj_name_t *);
+classify(probe_t *, jj_http_end_t, const jj_http_head_t *, uint64_t *);
+static void update_cut(jj_health_watch_t *, record_t *, bool);
+static void report_load(const probe_t *, const json_t *);
+static void release_events(jj_health_watch_t *, const jj_name_t *);
 static void free_record(void *);
 
 jj_health_watch_t *
@@ -103,30 +105,30 @@
 	bool start;
 
 	(void)apr_thread_mutex_lock(watch->lock);
-	record = find_record(watch, server);
-	start = begin_look(record);
+	record = find_or_add_record(watch, server);
+	start = begin_probe(record);
 	(void)snprintf(record->address, sizeof(record->address), "%s", address);
 	(void)apr_thread_mutex_unlock(watch->lock);
 	if (start)
-		start_look(watch, server, address, with_load);
+		send_probe(watch, server, address, with_load);
 }
 
 void
 jj_health_watch_hold(jj_health_watch_t *watch, const jj_name_t *server,
     const char *address, void *event)
 {
-	held_t *held = jj_alloc(sizeof(*held));
+	deferred_t *deferred = jj_alloc(sizeof(*deferred));
 	record_t *record;
 
-	held->event = event;
+	deferred->event = event;
 	(void)apr_thread_mutex_lock(watch->lock);
-	record = find_record(watch, server);
+	record = find_or_add_record(watch, server);
 	/*
-	 * A look under way may have been answered just before the server
-	 * died and would clear it; only a later one tells.
+	 * A probe in progress may have been answered just before the server
+	 * failed, and would find it healthy; only a later one is conclusive.
 	 */
-	held->needs = record->looks + 1;
-	STAILQ_INSERT_TAIL(&record->held, held, link);
+	deferred->min_probe = record->probes + 1;
+	STAILQ_INSERT_TAIL(&record->deferred, deferred, link);
 	(void)apr_thread_mutex_unlock(watch->lock);
 	jj_health_watch_look(watch, server, address, false);
 }
@@ -137,7 +139,7 @@
 	bool is_cut;
 
 	(void)apr_thread_mutex_lock(watch->lock);
-	is_cut = find_record(watch, server)->cut;
+	is_cut = find_or_add_record(watch, server)->cut;
 	(void)apr_thread_mutex_unlock(watch->lock);
 	return is_cut;
 }
@@ -167,55 +169,55 @@
 		if (!record->cut)
 			continue;
 		atomic_store(&watch->has_cut, true);
-		if (!begin_look(record))
+		if (!begin_probe(record))
 			continue;
 		jj_name_set(&server, key);
-		start_look(watch, &server, record->address, false);
+		send_probe(watch, &server, record->address, false);
 	}
 	(void)apr_thread_mutex_unlock(watch->lock);
 }
 
 static record_t *
-find_record(jj_health_watch_t *watch, const jj_name_t *server)
+find_or_add_record(jj_health_watch_t *watch, const jj_name_t *server)
 {
 	record_t *record = g_hash_table_lookup(watch->records, server->text);
 
 	if (record != NULL)
 		return record;
 	record = jj_alloc(sizeof(*record));
-	STAILQ_INIT(&record->held);
+	STAILQ_INIT(&record->deferred);
 	(void)g_hash_table_insert(
 	    watch->records, g_strdup(server->text), record);
 	return record;
 }
 
-/** False while one is under way. */
+/** False while a probe of this server is in progress. */
 static bool
-begin_look(record_t *record)
+begin_probe(record_t *record)
 {
-	if (record->looking)
+	if (record->probing)
 		return false;
-	record->looking = true;
-	record->looks++;
+	record->probing = true;
+	record->probes++;
 	return true;
 }
 
 static void
-start_look(jj_health_watch_t *watch, const jj_name_t *server,
+send_probe(jj_health_watch_t *watch, const jj_name_t *server,
     const char *address, bool with_load)
 {
-	look_t *look = jj_alloc(sizeof(*look));
+	probe_t *probe = jj_alloc(sizeof(*probe));
 	jj_http_request_t request = {0};
 
-	look->watch = watch;
-	look->server = *server;
-	look->with_load = with_load;
+	probe->watch = watch;
+	probe->server = *server;
+	probe->with_load = with_load;
 	request.method = "GET";
 	request.address = address;
 	request.path = with_load ? "/load" : "/health";
-	request.timeout_ms = LOOK_TIMEOUT_MS;
+	request.timeout_ms = PROBE_TIMEOUT_MS;
 	request.once = true;
-	request.ctx = look;
+	request.ctx = probe;
 	request.on_data = on_data;
 	request.on_end = on_end;
 	(void)jj_http_client_start(watch->client, &request);
@@ -224,46 +226,46 @@
 static jj_http_flow_t
 on_data(void *ctx, const char *data, size_t size)
 {
-	look_t *look = ctx;
+	probe_t *probe = ctx;
 
-	if (size > LOOK_MAX - look->size)
-		size = LOOK_MAX - look->size;
-	memcpy(look->answer + look->size, data, size);
-	look->size += size;
+	if (size > PROBE_ANSWER_MAX - probe->size)
+		size = PROBE_ANSWER_MAX - probe->size;
+	memcpy(probe->answer + probe->size, data, size);
+	probe->size += size;
 	return JJ_HTTP_TAKEN;
 }
 
 static void
 on_end(void *ctx, jj_http_end_t end, const jj_http_head_t *head)
 {
-	look_t *look = ctx;
-	jj_health_watch_t *watch = look->watch;
+	probe_t *probe = ctx;
+	jj_health_watch_t *watch = probe->watch;
 	uint64_t boot = 0;
 	jj_health_t health;
 
 	if (end == JJ_HTTP_CANCELLED) {
-		free(look);
+		free(probe);
 		return;
 	}
-	health = judge(look, end, head, &boot);
-	watch->port.on_health(watch->port.ctx, &look->server, health, boot);
-	release(watch, &look->server);
-	free(look);
+	health = classify(probe, end, head, &boot);
+	watch->port.on_health(watch->port.ctx, &probe->server, health, boot);
+	release_events(watch, &probe->server);
+	free(probe);
 }
 
 /**
- * Only a refused connection shows that a process is gone; a look without an
- * answer may be a slow server, and its requests must not be blamed. A dead
- * server's boot is told as it was, so that neighbours count one death once,
- * whoever tells it.
+ * Only a refused connection proves that a process is gone: a probe without an
+ * answer may mean a slow server, whose requests must not be charged with a
+ * crash. A crash is reported with the start id of the failed process, so that
+ * neighbours count it once, whichever VM reports it.
  */
 static jj_health_t
-judge(
-    look_t *look, jj_http_end_t end, const jj_http_head_t *head, uint64_t *boot)
+classify(probe_t *probe, jj_http_end_t end, const jj_http_head_t *head,
+    uint64_t *boot)
 {
 	bool answered = end == JJ_HTTP_COMPLETE && head->status == 200;
 	json_t *json =
-	    answered ? json_loadb(look->answer, look->size, 0, NULL) : NULL;
+	    answered ? json_loadb(probe->answer, probe->size, 0, NULL) : NULL;
 	const char *text = json_string_value(json_object_get(json, "boot"));
 	jj_health_t health = answered ? JJ_HEALTH_UP
 	    : end == JJ_HTTP_NOT_SENT ? JJ_HEALTH_DOWN
@@ -271,10 +273,10 @@
 	uint64_t seen = text != NULL ? strtoull(text, NULL, 16) : 0;
 	record_t *record;
 
-	(void)apr_thread_mutex_lock(look->watch->lock);
-	record = find_record(look->watch, &look->server);
-	record->looking = false;
-	note_cut(look->watch, record, end == JJ_HTTP_BROKEN);
+	(void)apr_thread_mutex_lock(probe->watch->lock);
+	record = find_or_add_record(probe->watch, &probe->server);
+	record->probing = false;
+	update_cut(probe->watch, record, end == JJ_HTTP_BROKEN);
 	*boot = record->boot;
 	if (seen != 0) {
 		if (record->boot != 0 && record->boot != seen)
@@ -283,66 +285,67 @@
 			*boot = seen;
 		record->boot = seen;
 	}
-	(void)apr_thread_mutex_unlock(look->watch->lock);
-	if (look->with_load && json != NULL)
-		tell_load(look, json);
+	(void)apr_thread_mutex_unlock(probe->watch->lock);
+	if (probe->with_load && json != NULL)
+		report_load(probe, json);
 	json_decref(json);
 	return health;
 }
 
 /**
- * A process that is dying still takes connections for some ms. Its death must
- * count against what broke there before that is sent to a third server.
+ * A process that is terminating still accepts connections for some ms. Its
+ * crash must be charged to the requests that broke there before they are sent
+ * to a third server, so a probe that is cut off meanwhile is retried.
  */
 static void
-note_cut(jj_health_watch_t *watch, record_t *record, bool was_cut)
+update_cut(jj_health_watch_t *watch, record_t *record, bool was_cut)
 {
 	jj_ms_t now = jj_monotonic_now();
 
-	if (!record->cut && was_cut && !STAILQ_EMPTY(&record->held)) {
+	if (!record->cut && was_cut && !STAILQ_EMPTY(&record->deferred)) {
 		record->cut = true;
-		record->cut_ms = now;
+		record->first_cut_ms = now;
 		atomic_store(&watch->has_cut, true);
-	} else if (!was_cut || now - record->cut_ms >= CUT_MOST_MS) {
+	} else if (!was_cut || now - record->first_cut_ms >= CUT_RETRY_MAX_MS) {
 		record->cut = false;
 	}
 }
 
 static void
-tell_load(const look_t *look, const json_t *json)
+report_load(const probe_t *probe, const json_t *json)
 {
-	const jj_health_port_t *port = &look->watch->port;
+	const jj_health_port_t *port = &probe->watch->port;
 
-	port->on_report(port->ctx, &look->server,
+	port->on_report(port->ctx, &probe->server,
 	    (uint32_t)json_integer_value(json_object_get(json, "running")),
 	    (uint32_t)json_integer_value(json_object_get(json, "waiting")),
 	    json_integer_value(json_object_get(json, "age_ms")));
 }
 
-/** Tells the events that waited for this look, after its verdict. */
+/** Releases the events that waited for this probe, after its result. */
 static void
-release(jj_health_watch_t *watch, const jj_name_t *server)
+release_events(jj_health_watch_t *watch, const jj_name_t *server)
 {
 	char address[JJ_NAME_MAX + 1];
 	record_t *record;
-	held_t *held;
+	deferred_t *deferred;
 	bool more;
 
 	for (;;) {
 		(void)apr_thread_mutex_lock(watch->lock);
-		record = find_record(watch, server);
-		held = STAILQ_FIRST(&record->held);
-		more = held != NULL;
-		if (more && held->needs > record->looks)
-			held = NULL;
-		if (held != NULL)
-			STAILQ_REMOVE_HEAD(&record->held, link);
+		record = find_or_add_record(watch, server);
+		deferred = STAILQ_FIRST(&record->deferred);
+		more = deferred != NULL;
+		if (more && deferred->min_probe > record->probes)
+			deferred = NULL;
+		if (deferred != NULL)
+			STAILQ_REMOVE_HEAD(&record->deferred, link);
 		memcpy(address, record->address, sizeof(address));
 		(void)apr_thread_mutex_unlock(watch->lock);
-		if (held == NULL)
+		if (deferred == NULL)
 			break;
-		watch->port.on_release(watch->port.ctx, held->event);
-		free(held);
+		watch->port.on_release(watch->port.ctx, deferred->event);
+		free(deferred);
 	}
 	if (more)
 		jj_health_watch_look(watch, server, address, false);
@@ -352,11 +355,11 @@
 free_record(void *memory)
 {
 	record_t *record = memory;
-	held_t *held;
+	deferred_t *deferred;
 
-	while ((held = STAILQ_FIRST(&record->held)) != NULL) {
-		STAILQ_REMOVE_HEAD(&record->held, link);
-		free(held);
+	while ((deferred = STAILQ_FIRST(&record->deferred)) != NULL) {
+		STAILQ_REMOVE_HEAD(&record->deferred, link);
+		free(deferred);
 	}
 	free(record);
 }
--- a/tests/adapters/health_test.cc
+++ b/tests/adapters/health_test.cc
@@ -1,6 +1,6 @@
 /**
  * @file health_test.cc
- * @brief What a look at a server's health decides about what broke there.
+ * @brief Health checks of a server after an attempt at it broke.
  */
 #include <chrono>
 #include <condition_variable>
@@ -17,7 +17,7 @@
 namespace
 {
 
-/** Far beyond what anything here takes, ms. */
+/** Time limit of each wait, ms; far above what these tests need. */
 constexpr int LIMIT_MS = 20000;
 
 class HealthWatch : public ::testing::Test
@@ -33,28 +33,28 @@
 	{
 		jj_health_watch_destroy(watch);
 	}
-	/** What an attempt that broke waits for. */
+	/** Holds back an event, as after an attempt that broke. */
 	void
-	hold()
+	defer_event()
 	{
 		jj_health_watch_hold(watch, &name, address.c_str(), this);
 	}
-	/** The look under way is cut off, as by a process that ends. */
+	/** Closes the probe's connection, as a terminating process does. */
 	void
-	cut_look()
+	cut_probe()
 	{
 		ASSERT_TRUE(server->accept_one(LIMIT_MS));
 		(void)read_until(server->last(), "\r\n\r\n");
 		(void)shutdown(server->last(), SHUT_RDWR);
 	}
 	bool
-	wait_for(size_t verdicts, int releases)
+	wait_for(size_t results, int releases)
 	{
 		std::unique_lock<std::mutex> guard(lock);
 
 		return changed.wait_for(
 		    guard, std::chrono::milliseconds(LIMIT_MS), [&] {
-			    return seen.size() >= verdicts &&
+			    return seen.size() >= results &&
 				released >= releases;
 		    });
 	}
@@ -96,11 +96,14 @@
 	}
 };
 
-/* Guards against a death that counts against nothing that broke there. */
+/*
+ * Guards against a crash that is charged to no request: a terminating process
+ * accepts the probe and closes its connection, and no retry finds it down.
+ */
 TEST_F(HealthWatch, ALookThatADyingProcessCutsIsMadeAgain)
 {
-	hold();
-	cut_look();
+	defer_event();
+	cut_probe();
 	ASSERT_TRUE(wait_for(1, 1));
 	EXPECT_EQ(JJ_HEALTH_UNSURE, last_seen());
 	EXPECT_TRUE(jj_health_watch_has_cut(watch));
@@ -112,11 +115,11 @@
 	EXPECT_FALSE(jj_health_watch_has_cut(watch));
 }
 
-/* Guards against looks without an end at a server that cuts each of them. */
+/* Guards against endless probes of a server that cuts off each of them. */
 TEST_F(HealthWatch, ALookThatNothingWaitsForIsNotMadeAgain)
 {
 	jj_health_watch_look(watch, &name, address.c_str(), false);
-	cut_look();
+	cut_probe();
 	ASSERT_TRUE(wait_for(1, 0));
 	EXPECT_FALSE(jj_health_watch_has_cut(watch));
 }
