--- a/src/daemon/relay.c
+++ b/src/daemon/relay.c
@@ -1,6 +1,6 @@
 /**
  * @file relay.c
- * @brief Requests between callers and backend servers, in shards.
+ * @brief Relays requests to backend servers and answers to callers, in shards.
  */
 #include <inttypes.h>
 #include <stdio.h>
@@ -17,44 +17,44 @@
 #include "daemon/relay.h"
 #include "daemon/sse.h"
 
-/** Largest whole answer, bytes. */
-#define WHOLE_MAX (8U << 20)
-/** The core hears of a stream's tokens this often, ms. */
-#define TOKENS_MS 200
+/** Largest answer that is not streamed, bytes. */
+#define ANSWER_MAX (8U << 20)
+/** Interval at which a stream's tokens are reported to the core, ms. */
+#define TOKEN_REPORT_MS 200
 
-/** One attempt at a server; lives on its shard's client thread. */
+/** One attempt at a server; used by its shard's client thread only. */
 typedef struct {
 	jj_relay_t *relay;
 	uint32_t shard;
 	uint64_t request;
 	uint32_t attempt;
 	jj_name_t server;
-	bool once; /**< non-idempotent: the status alone proves nothing */
-	bool streams; /**< the answer comes as server-sent events */
-	bool assembles; /**< and is put together, not passed on */
-	bool first_told;
-	bool relayed;
-	bool resumes; /**< goes on with the stream of the attempt before */
-	bool resumable;
+	bool non_idempotent; /**< no status alone proves that it did not run */
+	bool streams; /**< the answer is a stream of server-sent events */
+	bool assembles; /**< the stream is assembled into one answer */
+	bool first_reported;
+	bool relayed; /**< part of the answer was sent to the caller */
+	bool resumes; /**< resumes the previous attempt's stream */
+	bool resumable; /**< its stream can be resumed at the server */
 	jj_sse_t sse;
-	jj_buffer_t body; /**< of a whole answer */
+	jj_buffer_t body; /**< of an answer that is not streamed */
 	bool too_large;
 	int status;
 	char content_type[96];
-	jj_ms_t tokens_told_ms;
+	jj_ms_t tokens_reported_ms;
 	jj_span_t span;
 } attempt_t;
 
 /** An exchange in its shard's table. */
 typedef struct {
 	jj_exchange_t exchange;
-	uint32_t attempt; /**< the only one whose events count; 0: none */
-	uint64_t transfer; /**< its number at the client */
-	bool begun; /**< the caller's stream has begun */
-	uint32_t tokens; /**< passed on to the caller */
-	char stream[64]; /**< the engine's id of the stream */
-	char boot[20];
-	jj_assembler_t *assembler; /**< of a batch item asked for as stream */
+	uint32_t attempt; /**< current one, 0: none; others are ignored */
+	uint64_t transfer; /**< number of its transfer at the HTTP client */
+	bool begun; /**< the answer's head was sent to the caller */
+	uint32_t tokens; /**< forwarded to the caller */
+	char stream[64]; /**< the server's id of the stream */
+	char boot[20]; /**< start id of the server's process */
+	jj_assembler_t *assembler; /**< of a batch item requested as a stream */
 	char address[JJ_NAME_MAX + 1];
 } entry_t;
 
@@ -76,27 +76,28 @@
 static void free_entry(void *);
 static attempt_t *
 create_attempt(jj_relay_t *, entry_t *, const jj_backend_start_t *, bool);
-static void forget_stream(entry_t *);
+static void reset_stream(entry_t *);
 static void start_request(shard_t *, entry_t *, attempt_t *, jj_ms_t);
-static void refuse_second_run(jj_relay_t *, const jj_backend_start_t *);
+static void reject_second_run(jj_relay_t *, const jj_backend_start_t *);
 static void on_head(void *, const jj_http_head_t *);
 static jj_http_flow_t on_data(void *, const char *, size_t);
-static jj_http_flow_t take_stream(attempt_t *, entry_t *, const char *, size_t);
-static void take_whole(attempt_t *, const char *, size_t);
-static bool pass_on(attempt_t *, entry_t *, bool);
-static void begin_stream(entry_t *);
+static jj_http_flow_t
+receive_stream(attempt_t *, entry_t *, const char *, size_t);
+static void receive_body(attempt_t *, const char *, size_t);
+static bool forward_events(attempt_t *, entry_t *, bool);
+static void begin_caller_stream(entry_t *);
 static void on_end(void *, jj_http_end_t, const jj_http_head_t *);
 static jj_backend_kind_t
 finish_stream(attempt_t *, entry_t *, jj_backend_kind_t);
-static bool assemble(attempt_t *, entry_t *);
+static bool assemble_answer(attempt_t *, entry_t *);
 static jj_backend_kind_t
-judge(const attempt_t *, jj_http_end_t, const jj_http_head_t *);
+classify_end(const attempt_t *, jj_http_end_t, const jj_http_head_t *);
 static jj_backend_kind_t
-judge_status(const attempt_t *, const jj_http_head_t *);
-static void
-tell(attempt_t *, jj_backend_kind_t, uint32_t, jj_ms_t, jj_whole_t *, bool);
-static void tell_progress(attempt_t *);
-static void cancel_at_engine(shard_t *, const entry_t *);
+classify_status(const attempt_t *, const jj_http_head_t *);
+static void post_event(
+    attempt_t *, jj_backend_kind_t, uint32_t, jj_ms_t, jj_whole_t *, bool);
+static void report_progress(attempt_t *);
+static void cancel_at_server(shard_t *, const entry_t *);
 static jj_http_flow_t ignore_data(void *, const char *, size_t);
 static void ignore_end(void *, jj_http_end_t, const jj_http_head_t *);
 static void free_attempt(attempt_t *);
@@ -169,13 +170,13 @@
 
 bool
 jj_relay_address(
-    jj_relay_t *relay, uint64_t request, char *address, size_t room)
+    jj_relay_t *relay, uint64_t request, char *address, size_t size)
 {
 	shard_t *shard;
 	entry_t *entry = lock_entry(relay, request, &shard);
 
 	if (entry != NULL)
-		(void)snprintf(address, room, "%s", entry->address);
+		(void)snprintf(address, size, "%s", entry->address);
 	(void)apr_thread_mutex_unlock(shard->lock);
 	return entry != NULL;
 }
@@ -184,7 +185,7 @@
 jj_relay_start(jj_relay_t *relay, const jj_backend_start_t *start,
     const char *address, jj_ms_t timeout_ms, bool idempotent)
 {
-	bool joins = false;
+	bool is_second_run = false;
 	shard_t *shard;
 	entry_t *entry = lock_entry(relay, start->request, &shard);
 	attempt_t *attempt;
@@ -194,37 +195,37 @@
 		    entry->address, sizeof(entry->address), "%s", address);
 		entry->exchange.idempotent = idempotent;
 		entry->attempt = start->attempt;
-		joins = entry->begun && start->resume_from == 0;
+		is_second_run = entry->begun && start->resume_from == 0;
 	}
-	if (entry != NULL && !joins) {
+	if (entry != NULL && !is_second_run) {
 		attempt = create_attempt(relay, entry, start, idempotent);
 		start_request(shard, entry, attempt, timeout_ms);
 	}
 	(void)apr_thread_mutex_unlock(shard->lock);
-	if (joins)
-		refuse_second_run(relay, start);
+	if (is_second_run)
+		reject_second_run(relay, start);
 }
 
 /**
- * Guards against two runs in one answer. The word of a server's death may
- * pass the first bytes of an answer on their way to the core, most of all
- * when a process wakes after a pause; the core then sends the request anew,
+ * Guards against two runs in one answer. The report of a server's crash may
+ * reach the core before the event of an answer's first bytes, above all when
+ * this process resumes after a pause. The core then sends the request again,
  * and the caller would get the start of one run and the whole of another as
- * one complete answer. Whether bytes have gone to the caller is known here,
- * under the lock under which they go, so here the second run ends.
+ * one complete answer. Bytes are sent to the caller under the shard's lock,
+ * so the check for them is made here, and the second run is not sent.
  */
 static void
-refuse_second_run(jj_relay_t *relay, const jj_backend_start_t *start)
+reject_second_run(jj_relay_t *relay, const jj_backend_start_t *start)
 {
 	jj_backend_event_t event = {0};
-	jj_whole_t none = {0};
+	jj_whole_t no_answer = {0};
 
 	event.request = start->request;
 	event.attempt = start->attempt;
 	event.kind = JJ_BACKEND_BROKEN;
 	event.relayed = true;
 	relay->port.on_event(
-	    relay->port.ctx, &event, &none, &start->server, false);
+	    relay->port.ctx, &event, &no_answer, &start->server, false);
 }
 
 void
@@ -236,7 +237,7 @@
 	if (entry != NULL && entry->attempt == attempt) {
 		entry->attempt = 0;
 		jj_http_client_cancel(shard->client, entry->transfer);
-		cancel_at_engine(shard, entry);
+		cancel_at_server(shard, entry);
 	}
 	(void)apr_thread_mutex_unlock(shard->lock);
 }
@@ -306,7 +307,7 @@
 {
 	entry_t *entry = memory;
 
-	/* A forced stop: nobody will answer this call any more. */
+	/* On a forced stop, the call can no longer be answered. */
 	if (entry->exchange.call != NULL)
 		jj_http_call_release(entry->exchange.call);
 	jj_exchange_clear(&entry->exchange);
@@ -327,22 +328,22 @@
 	attempt->request = start->request;
 	attempt->attempt = start->attempt;
 	attempt->server = start->server;
-	attempt->once = !idempotent;
+	attempt->non_idempotent = !idempotent;
 	attempt->assembles = entry->assembler != NULL;
 	attempt->streams =
 	    exchange->is_model && (exchange->streams || attempt->assembles);
 	attempt->resumes = start->resume_from > 0;
 	if (!attempt->resumes)
-		forget_stream(entry);
+		reset_stream(entry);
 	attempt->relayed = entry->begun;
 	jj_trace_begin(&attempt->span, &parent, JJ_HOP_BACKEND,
 	    start->server.text, jj_unix_now_ns());
 	return attempt;
 }
 
-/** A new stream begins: what is known of an earlier one is not of it. */
+/** Clears the state of an earlier stream before a new one begins. */
 static void
-forget_stream(entry_t *entry)
+reset_stream(entry_t *entry)
 {
 	entry->tokens = 0;
 	entry->stream[0] = '\0';
@@ -384,7 +385,7 @@
 	request.path = exchange->path.data;
 	request.body = exchange->body.data;
 	request.body_size = exchange->body.size;
-	/* Never the request itself: it has run once already. */
+	/* A resume does not send the request itself, which was run already. */
 	if (attempt->resumes) {
 		(void)snprintf(
 		    path, sizeof(path), "/v1/streams/%s/resume", entry->stream);
@@ -396,7 +397,7 @@
 		request.body_size = strlen(resume);
 	}
 	request.timeout_ms = timeout_ms;
-	request.once = attempt->once;
+	request.once = attempt->non_idempotent;
 	request.ctx = attempt;
 	request.on_head = on_head;
 	request.on_data = on_data;
@@ -417,7 +418,7 @@
 	if (strncmp(head->content_type, "text/event-stream", 17) != 0)
 		attempt->streams = false;
 	entry = lock_entry(attempt->relay, attempt->request, &shard);
-	/* The refusal of a resume names no stream. */
+	/* A refused resume has no stream id; the old one stays. */
 	if (entry != NULL && entry->attempt == attempt->attempt &&
 	    head->stream[0] != '\0') {
 		(void)snprintf(
@@ -437,34 +438,38 @@
 	entry_t *entry = lock_entry(attempt->relay, attempt->request, &shard);
 
 	/*
-	 * Bytes of an attempt that was given up on must reach nobody: the
-	 * exchange may be on another attempt, or gone.
+	 * Drops bytes of an abandoned attempt: the exchange may have another
+	 * attempt by now, or be gone.
 	 */
 	if (entry != NULL && entry->attempt == attempt->attempt) {
 		if (attempt->streams)
-			flow = take_stream(attempt, entry, data, size);
+			flow = receive_stream(attempt, entry, data, size);
 		else
-			take_whole(attempt, data, size);
+			receive_body(attempt, data, size);
 	}
 	(void)apr_thread_mutex_unlock(shard->lock);
 	if (flow == JJ_HTTP_TAKEN)
-		tell_progress(attempt);
+		report_progress(attempt);
 	return flow;
 }
 
 static jj_http_flow_t
-take_stream(attempt_t *attempt, entry_t *entry, const char *data, size_t size)
+receive_stream(
+    attempt_t *attempt, entry_t *entry, const char *data, size_t size)
 {
-	if (attempt->sse.whole > 0 && !pass_on(attempt, entry, false))
+	if (attempt->sse.whole > 0 && !forward_events(attempt, entry, false))
 		return JJ_HTTP_PAUSE;
 	jj_sse_feed(&attempt->sse, data, size);
-	(void)pass_on(attempt, entry, false);
+	(void)forward_events(attempt, entry, false);
 	return JJ_HTTP_TAKEN;
 }
 
-/** Passes whole events on; false when the caller's buffer is full. */
+/**
+ * Forwards complete events; false when the caller's buffer is full.
+ * @param force write even if it is full.
+ */
 static bool
-pass_on(attempt_t *attempt, entry_t *entry, bool must)
+forward_events(attempt_t *attempt, entry_t *entry, bool force)
 {
 	if (attempt->sse.whole == 0)
 		return true;
@@ -475,9 +480,9 @@
 		return true;
 	}
 	if (!entry->begun)
-		begin_stream(entry);
+		begin_caller_stream(entry);
 	if (!jj_http_call_write(entry->exchange.call, attempt->sse.pending,
-		attempt->sse.whole, must))
+		attempt->sse.whole, force))
 		return false;
 	jj_sse_drop_whole(&attempt->sse);
 	attempt->relayed = true;
@@ -485,7 +490,7 @@
 }
 
 static void
-begin_stream(entry_t *entry)
+begin_caller_stream(entry_t *entry)
 {
 	jj_http_answer_t answer = {200, "text/event-stream",
 	    {{"Cache-Control", "no-cache"},
@@ -497,9 +502,9 @@
 }
 
 static void
-take_whole(attempt_t *attempt, const char *data, size_t size)
+receive_body(attempt_t *attempt, const char *data, size_t size)
 {
-	if (attempt->body.bytes.size + size > WHOLE_MAX)
+	if (attempt->body.bytes.size + size > ANSWER_MAX)
 		attempt->too_large = true;
 	else
 		jj_buffer_append(&attempt->body, data, size);
@@ -509,8 +514,8 @@
 on_end(void *ctx, jj_http_end_t end, const jj_http_head_t *head)
 {
 	attempt_t *attempt = ctx;
-	jj_backend_kind_t kind = judge(attempt, end, head);
-	jj_whole_t whole = {0};
+	jj_backend_kind_t kind = classify_end(attempt, end, head);
+	jj_whole_t answer = {0};
 	bool is_current = false;
 	bool suspect = end == JJ_HTTP_BROKEN || end == JJ_HTTP_NOT_SENT;
 	shard_t *shard;
@@ -539,23 +544,23 @@
 		attempt->relay->port.on_leaving(
 		    attempt->relay->port.ctx, &attempt->server);
 	if (kind == JJ_BACKEND_DONE || kind == JJ_BACKEND_REJECTED) {
-		whole.status = attempt->status;
-		(void)snprintf(whole.content_type, sizeof(whole.content_type),
+		answer.status = attempt->status;
+		(void)snprintf(answer.content_type, sizeof(answer.content_type),
 		    "%s", attempt->content_type);
-		whole.body = jj_buffer_take(&attempt->body);
+		answer.body = jj_buffer_take(&attempt->body);
 	}
 	if (attempt->sse.tokens > 0)
-		tell(attempt, JJ_BACKEND_TOKENS,
+		post_event(attempt, JJ_BACKEND_TOKENS,
 		    jj_sse_take_tokens(&attempt->sse), 0, NULL, false);
-	tell(attempt, kind, 0, head->retry_after_ms, &whole, suspect);
-	jj_bytes_free(&whole.body);
+	post_event(attempt, kind, 0, head->retry_after_ms, &answer, suspect);
+	jj_bytes_free(&answer.body);
 	free_attempt(attempt);
 }
 
 /**
- * Passes the rest of a stream on and corrects how its attempt ended: without
- * the end mark it was truncated, however cleanly its connection ended; with
- * it nothing is missing, however the connection ended.
+ * Forwards the rest of a stream and corrects the result of its attempt. Without
+ * the end mark the stream is truncated, even if the connection ended cleanly;
+ * with it the stream is complete, even if the connection broke.
  */
 static jj_backend_kind_t
 finish_stream(attempt_t *attempt, entry_t *entry, jj_backend_kind_t kind)
@@ -564,10 +569,10 @@
 
 	if (!attempt->streams)
 		return kind;
-	(void)pass_on(attempt, entry, true);
+	(void)forward_events(attempt, entry, true);
 	is_whole = attempt->sse.done && !attempt->sse.too_long;
 	if (is_whole && attempt->assembles)
-		is_whole = assemble(attempt, entry);
+		is_whole = assemble_answer(attempt, entry);
 	if (is_whole && kind == JJ_BACKEND_BROKEN)
 		return JJ_BACKEND_DONE;
 	if (!is_whole && kind == JJ_BACKEND_DONE)
@@ -575,40 +580,41 @@
 	return kind;
 }
 
-/** Puts a streamed item's answer together; false when it is malformed. */
+/** Assembles a streamed item's answer; false when it is malformed. */
 static bool
-assemble(attempt_t *attempt, entry_t *entry)
+assemble_answer(attempt_t *attempt, entry_t *entry)
 {
-	jj_bytes_t whole = jj_assembler_finish(entry->assembler);
+	jj_bytes_t answer = jj_assembler_finish(entry->assembler);
 
 	jj_buffer_clear(&attempt->body);
-	attempt->body.bytes = whole;
+	attempt->body.bytes = answer;
 	(void)snprintf(attempt->content_type, sizeof(attempt->content_type),
 	    "application/json");
-	return whole.size > 0;
+	return answer.size > 0;
 }
 
 static jj_backend_kind_t
-judge(const attempt_t *attempt, jj_http_end_t end, const jj_http_head_t *head)
+classify_end(
+    const attempt_t *attempt, jj_http_end_t end, const jj_http_head_t *head)
 {
 	if (end != JJ_HTTP_COMPLETE)
 		return jj_attempt_kind_of_end(end);
 	if (attempt->too_large)
 		return JJ_BACKEND_FAILED;
-	return judge_status(attempt, head);
+	return classify_status(attempt, head);
 }
 
 /**
- * A 503 or 429 may come after the work was begun, so by itself it is a
- * failure like others; only a server that says it is leaving has promised
- * that it did not begin.
+ * A 503 or 429 may be sent after work on the request began, so by itself it
+ * counts as any failure. Only a server that reports that it is leaving
+ * guarantees that it did not begin.
  */
 static jj_backend_kind_t
-judge_status(const attempt_t *attempt, const jj_http_head_t *head)
+classify_status(const attempt_t *attempt, const jj_http_head_t *head)
 {
 	if (head->status == 503 && head->leaving)
 		return JJ_BACKEND_LEAVING;
-	/* What a server says of a resume is not its answer to the request. */
+	/* An error answer to a resume is not the answer to the request. */
 	if (attempt->resumes && (head->status != 200 || !attempt->streams))
 		return JJ_BACKEND_FAILED;
 	if (head->status >= 200 && head->status < 300)
@@ -620,8 +626,8 @@
 }
 
 static void
-tell(attempt_t *attempt, jj_backend_kind_t kind, uint32_t tokens,
-    jj_ms_t retry_after_ms, jj_whole_t *whole, bool suspect)
+post_event(attempt_t *attempt, jj_backend_kind_t kind, uint32_t tokens,
+    jj_ms_t retry_after_ms, jj_whole_t *answer, bool suspect)
 {
 	jj_backend_event_t event = {0};
 
@@ -632,35 +638,38 @@
 	event.retry_after_ms = retry_after_ms;
 	event.relayed = attempt->relayed;
 	event.resumable = attempt->resumable;
-	attempt->relay->port.on_event(
-	    attempt->relay->port.ctx, &event, whole, &attempt->server, suspect);
+	attempt->relay->port.on_event(attempt->relay->port.ctx, &event, answer,
+	    &attempt->server, suspect);
 }
 
-/** First token at once, later ones together now and then. */
+/** Reports the first token at once, later ones at intervals. */
 static void
-tell_progress(attempt_t *attempt)
+report_progress(attempt_t *attempt)
 {
 	jj_ms_t now;
 
-	if (!attempt->first_told) {
-		attempt->first_told = true;
-		attempt->tokens_told_ms = jj_monotonic_now();
-		tell(attempt, JJ_BACKEND_FIRST, 0, 0, NULL, false);
+	if (!attempt->first_reported) {
+		attempt->first_reported = true;
+		attempt->tokens_reported_ms = jj_monotonic_now();
+		post_event(attempt, JJ_BACKEND_FIRST, 0, 0, NULL, false);
 		return;
 	}
 	if (attempt->sse.tokens == 0)
 		return;
 	now = jj_monotonic_now();
-	if (now < attempt->tokens_told_ms + TOKENS_MS)
+	if (now < attempt->tokens_reported_ms + TOKEN_REPORT_MS)
 		return;
-	attempt->tokens_told_ms = now;
-	tell(attempt, JJ_BACKEND_TOKENS, jj_sse_take_tokens(&attempt->sse), 0,
-	    NULL, false);
+	attempt->tokens_reported_ms = now;
+	post_event(attempt, JJ_BACKEND_TOKENS,
+	    jj_sse_take_tokens(&attempt->sse), 0, NULL, false);
 }
 
-/** The engine frees the stream's place at once, not when it next writes. */
+/**
+ * Lets the server free the stream's request slot at once, rather than when its
+ * next write fails.
+ */
 static void
-cancel_at_engine(shard_t *shard, const entry_t *entry)
+cancel_at_server(shard_t *shard, const entry_t *entry)
 {
 	jj_http_request_t request = {0};
 	char path[160];
--- a/tests/adapters/relay_test.cc
+++ b/tests/adapters/relay_test.cc
@@ -1,6 +1,6 @@
 /**
  * @file relay_test.cc
- * @brief What a caller gets is one run's answer, whatever the core decides.
+ * @brief A caller gets the answer of one run, whatever the core decides.
  */
 #include <atomic>
 #include <condition_variable>
@@ -20,16 +20,17 @@
 namespace
 {
 
-/** Waits are for events that come in milliseconds. */
-const int kPatienceMs = 10000;
+/** Time limit of each wait; the awaited events take milliseconds. */
+const int kWaitLimitMs = 10000;
 
-struct Told {
+/** An event that the relay reported. */
+struct Reported {
 	jj_backend_kind_t kind;
 	uint32_t attempt;
 	bool relayed;
 };
 
-/** An engine and a front of servers in this process, joined by a relay. */
+/** A backend server and a front server for callers, joined by a relay. */
 class Relay : public ::testing::Test
 {
       protected:
@@ -37,7 +38,7 @@
 	std::condition_variable changed;
 	std::vector<jj_http_call_t *> runs; /**< at the engine */
 	std::vector<jj_http_call_t *> callers;
-	std::vector<Told> told;
+	std::vector<Reported> reported;
 	std::string engine_address = free_address();
 	std::string front_address = free_address();
 	jj_http_server_t *engine;
@@ -104,7 +105,7 @@
 		auto *self = static_cast<Relay *>(ctx);
 		std::lock_guard<std::mutex> guard(self->lock);
 
-		self->told.push_back(
+		self->reported.push_back(
 		    {event->kind, event->attempt, event->relayed});
 		self->changed.notify_all();
 	}
@@ -119,9 +120,9 @@
 		std::unique_lock<std::mutex> guard(lock);
 
 		ASSERT_TRUE(changed.wait_for(
-		    guard, std::chrono::milliseconds(kPatienceMs), condition));
+		    guard, std::chrono::milliseconds(kWaitLimitMs), condition));
 	}
-	/** The relay's exchange of the caller that is waiting. */
+	/** Adds the exchange of the waiting caller to the relay. */
 	void
 	add()
 	{
@@ -154,7 +155,7 @@
 		jj_http_call_begin(run, &answer);
 	}
 	static void
-	token(jj_http_call_t *run, const char *word)
+	write_token(jj_http_call_t *run, const char *word)
 	{
 		std::string event = std::string("data: {\"choices\":[{"
 						"\"text\":\"") +
@@ -165,11 +166,11 @@
 };
 
 /*
- * A VM stands still while it relays a stream; the engine dies meanwhile. When
- * it wakes, the word of the death passes the first tokens on their way to the
- * core: for the core the request had not begun, and it is sent anew. The
- * caller got four tokens of one run and then a whole second run, as one
- * complete answer.
+ * Guards against two runs in one answer. A VM is paused while it relays a
+ * stream, and the server crashes meanwhile. When the VM resumes, the crash
+ * report reaches the core before the event of the first tokens, so the core
+ * takes the request as not begun and sends it again. The caller got four
+ * tokens of one run and then a whole second run, as one complete answer.
  */
 TEST_F(Relay, ASecondRunNeverFollowsTheBytesOfAFirst)
 {
@@ -180,22 +181,24 @@
 	send(1);
 	wait_for([this] { return runs.size() == 1; });
 	begin_run(runs[0], "7");
-	token(runs[0], "first");
+	write_token(runs[0], "first");
 	ASSERT_NE(std::string::npos, read_until(caller, "first").find("first"));
-	/* The core has not heard of it, and has the request sent again. */
+	/* The core did not receive the event, and sends the request again. */
 	jj_relay_cancel(relay, 1, 1);
 	send(2);
-	Told refused = {};
-	/* Tokens of the first attempt may still be told. */
+	Reported refused = {};
+	/* Tokens of the first attempt may still be reported. */
 	wait_for([this, &refused] {
-		for (const Told &one : told) {
-			if (one.attempt == 2 && one.kind == JJ_BACKEND_BROKEN)
-				refused = one;
+		for (const Reported &event : reported) {
+			if (event.attempt == 2 &&
+			    event.kind == JJ_BACKEND_BROKEN)
+				refused = event;
 		}
 		return refused.attempt == 2;
 	});
-	EXPECT_TRUE(refused.relayed) << "the core learns that it had begun";
-	EXPECT_EQ(1U, runs.size()) << "the second run is not even sent";
+	EXPECT_TRUE(refused.relayed)
+	    << "the event must say that an answer had begun";
+	EXPECT_EQ(1U, runs.size()) << "the second run must not be sent";
 	jj_exchange_t taken;
 	bool relayed = false;
 	ASSERT_TRUE(jj_relay_take(relay, 1, &taken, &relayed));
@@ -204,12 +207,12 @@
 	jj_exchange_clear(&taken);
 	std::string rest = read_to_end(caller);
 	EXPECT_EQ(std::string::npos, rest.find("0\r\n\r\n"))
-	    << "a cut stream does not look complete";
+	    << "a cut-off stream must not look complete";
 	jj_http_call_end(runs[0], true);
 	(void)close(caller);
 }
 
-/* A stream that may go on at its server does so, behind what the caller has. */
+/* A broken stream is resumed at its server behind the caller's last token. */
 TEST_F(Relay, AResumedRunIsPassedOn)
 {
 	int caller = send_request(front_address);
@@ -219,18 +222,19 @@
 	send(1);
 	wait_for([this] { return runs.size() == 1; });
 	begin_run(runs[0], "7");
-	token(runs[0], "first");
+	write_token(runs[0], "first");
 	(void)read_until(caller, "first");
 	jj_http_call_end(runs[0], true);
 	wait_for([this] {
-		return !told.empty() && told.back().kind == JJ_BACKEND_BROKEN;
+		return !reported.empty() &&
+		    reported.back().kind == JJ_BACKEND_BROKEN;
 	});
 	start.resume_from = 1;
 	send(2);
 	wait_for([this] { return runs.size() == 2; });
 	EXPECT_STREQ("/v1/streams/7/resume", jj_http_call_path(runs[1]));
 	begin_run(runs[1], "7");
-	token(runs[1], "second");
+	write_token(runs[1], "second");
 	EXPECT_NE(
 	    std::string::npos, read_until(caller, "second").find("second"));
 	jj_relay_cancel(relay, 1, 2);
