--- a/src/daemon/stream_relay.c
+++ b/src/daemon/stream_relay.c
@@ -1,6 +1,6 @@
 /**
  * @file stream_relay.c
- * @brief Answers of servers on their way to callers, byte for byte.
+ * @brief Forwards answers of backend servers to callers, byte for byte.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -16,47 +16,47 @@
 #include "daemon/stream_relay.h"
 
 /** Largest answer that is no stream, bytes. */
-#define WHOLE_MAX (16U << 20)
-/** Between signs that a stream goes on, ms; the core looks for its stall. */
-#define SIGN_MS 250
-/** The server ends its work at the time it is given; then we do too, ms. */
-#define LATE_MS 500
+#define ANSWER_MAX (16U << 20)
+/** Interval of progress reports, by which the core detects a stall, ms. */
+#define PROGRESS_REPORT_MS 250
+/** The server stops at its deadline; we cancel this much later, ms. */
+#define DEADLINE_GRACE_MS 500
 
-/** An exchange and what of its answer was passed on. */
+/** An exchange and how much of its answer was forwarded. */
 typedef struct {
 	jj_stream_exchange_t exchange;
-	uint32_t attempt; /**< under way, 0: none */
-	uint64_t transfer;
-	bool begun; /**< the caller has the head */
-	int64_t last_id; /**< of the last event passed on */
-	jj_bytes_t text; /**< of an item: its output so far */
-	bool has_text; /**< some event was taken, if only an empty one */
+	uint32_t attempt; /**< number of the current one, 0: none */
+	uint64_t transfer; /**< its number at the HTTP client */
+	bool begun; /**< the answer's head was sent to the caller */
+	int64_t last_id; /**< of the last event forwarded */
+	jj_bytes_t text; /**< of a batch item: its output so far */
+	bool has_text; /**< an event had data, if only an empty text */
 } entry_t;
 
-/** What is known of the answer's head. */
+/** How an answer is handled, as its head decides. */
 typedef enum {
 	ANSWER_UNKNOWN,
-	ANSWER_STREAM,
-	ANSWER_WHOLE,
-	ANSWER_FOREIGN, /**< not the answer to this request */
+	ANSWER_STREAM, /**< forwarded event by event */
+	ANSWER_UNSTREAMED, /**< forwarded once it is complete */
+	ANSWER_INVALID, /**< not a valid answer to this request */
 } answer_kind_t;
 
-/** One attempt; lives as long as its transfer. */
+/** One attempt at a server; freed when its transfer ends. */
 typedef struct {
 	jj_stream_relay_t *relay;
 	uint64_t request;
 	uint32_t attempt;
-	bool streams; /**< the route says so */
-	bool resumes; /**< goes on behind an event that was passed on */
-	char *id; /**< as the server shall echo it; owned */
+	bool streams; /**< the route has streamed answers */
+	bool resumes; /**< resumes after an event that was forwarded */
+	char *id; /**< request id, which the server must echo; owned */
 	answer_kind_t kind;
 	int status;
-	bool not_run; /**< the server says so */
-	char *lines; /**< the head's, owned */
+	bool not_run; /**< the server reported that it did not run it */
+	char *header_lines; /**< header lines of the answer; owned */
 	jj_event_stream_t events;
-	jj_buffer_t body; /**< of a whole answer */
-	bool first_told;
-	jj_ms_t sign_ms;
+	jj_buffer_t body; /**< of an answer that is not streamed */
+	bool first_reported;
+	jj_ms_t progress_reported_ms;
 } attempt_t;
 
 struct jj_stream_relay {
@@ -66,7 +66,7 @@
 	apr_pool_t *pool;
 	apr_thread_mutex_t *lock; /**< guards the table and its entries */
 	GHashTable *table; /**< entry_t by request */
-	bool closes; /**< callers' connections end with their answers */
+	bool close_connections; /**< answers have Connection: close */
 };
 
 static entry_t *find(jj_stream_relay_t *, uint64_t);
@@ -74,23 +74,24 @@
 static void clear_exchange(jj_stream_exchange_t *);
 static void free_attempt(attempt_t *);
 static void on_head(void *, const jj_http_head_t *);
-static char *read_line(const char **, char **);
-static void judge_head(attempt_t *);
+static char *read_header(const char **, char **);
+static void check_head(attempt_t *);
 static jj_http_flow_t on_data(void *, const char *, size_t);
-static void take_events(attempt_t *, entry_t *, const char *, size_t);
-static void pass_on(attempt_t *, entry_t *, const jj_event_piece_t *);
-static void take_whole(attempt_t *, const char *, size_t);
+static void receive_events(attempt_t *, entry_t *, const char *, size_t);
+static void forward_event(attempt_t *, entry_t *, const jj_event_piece_t *);
+static void receive_body(attempt_t *, const char *, size_t);
 static void begin_answer(attempt_t *, entry_t *);
-static void answer_whole(attempt_t *, entry_t *);
+static void send_unstreamed(attempt_t *, entry_t *);
 static jj_http_answer_t make_answer(const attempt_t *, const GArray *);
 static GArray *list_fields(const attempt_t *);
 static void free_fields(GArray *);
 static void on_end(void *, jj_http_end_t, const jj_http_head_t *);
-static jj_backend_kind_t judge_end(const attempt_t *, jj_http_end_t);
-static jj_backend_kind_t judge_status(const attempt_t *);
-static void finish(attempt_t *, entry_t *, jj_bytes_t *);
-static void tell(attempt_t *, jj_backend_kind_t, jj_ms_t, bool, jj_bytes_t *);
-static void tell_sign(attempt_t *);
+static jj_backend_kind_t classify_end(const attempt_t *, jj_http_end_t);
+static jj_backend_kind_t classify_status(const attempt_t *);
+static void finish_answer(attempt_t *, entry_t *, jj_bytes_t *);
+static void
+post_event(attempt_t *, jj_backend_kind_t, jj_ms_t, bool, jj_bytes_t *);
+static void report_progress(attempt_t *);
 
 jj_stream_relay_t *
 jj_stream_relay_create(
@@ -126,7 +127,7 @@
 jj_stream_relay_close_callers(jj_stream_relay_t *relay)
 {
 	(void)apr_thread_mutex_lock(relay->lock);
-	relay->closes = true;
+	relay->close_connections = true;
 	(void)apr_thread_mutex_unlock(relay->lock);
 }
 
@@ -148,14 +149,14 @@
 jj_stream_exchange_add_header(
     jj_stream_exchange_t *exchange, const char *name, const char *value)
 {
-	size_t room = strlen(name) + strlen(value) + 3;
-	char *line = jj_alloc(room);
+	size_t size = strlen(name) + strlen(value) + 3;
+	char *line = jj_alloc(size);
 
-	/* libcurl leaves a header out that is "Name:"; "Name;" sends it. */
+	/* libcurl drops a header "Name:"; "Name;" sends it with no value. */
 	if (value[0] == '\0')
-		(void)snprintf(line, room, "%s;", name);
+		(void)snprintf(line, size, "%s;", name);
 	else
-		(void)snprintf(line, room, "%s: %s", name, value);
+		(void)snprintf(line, size, "%s: %s", name, value);
 	exchange->headers = jj_realloc(exchange->headers,
 	    (exchange->header_count + 1) * sizeof(*exchange->headers));
 	exchange->headers[exchange->header_count++] = line;
@@ -180,7 +181,7 @@
 	jj_http_request_t http = {0};
 	char deadline[128];
 	char target[192];
-	char last[128];
+	char last_event_id[128];
 	attempt_t *attempt;
 	entry_t *entry;
 	size_t count = 0;
@@ -206,9 +207,9 @@
 	http.headers[count++] = deadline;
 	http.headers[count++] = target;
 	if (entry->last_id != JJ_EVENT_NO_ID) {
-		(void)snprintf(last, sizeof(last), "%s: %lld",
+		(void)snprintf(last_event_id, sizeof(last_event_id), "%s: %lld",
 		    names->last_event_id, (long long)entry->last_id);
-		http.headers[count++] = last;
+		http.headers[count++] = last_event_id;
 	}
 	http.method = entry->exchange.method;
 	http.address = start->address;
@@ -218,7 +219,7 @@
 	http.verbatim = true;
 	http.body = entry->exchange.body.data;
 	http.body_size = entry->exchange.body.size;
-	http.timeout_ms = start->budget_ms + LATE_MS;
+	http.timeout_ms = start->budget_ms + DEADLINE_GRACE_MS;
 	http.connect_ms = start->connect_ms;
 	http.once = true;
 	http.ctx = attempt;
@@ -303,7 +304,7 @@
 {
 	entry_t *entry = memory;
 
-	/* A forced stop: nobody will answer this call any more. */
+	/* On a forced stop, the call can no longer be answered. */
 	if (entry->exchange.call != NULL)
 		jj_http_call_release(entry->exchange.call);
 	clear_exchange(&entry->exchange);
@@ -330,7 +331,7 @@
 {
 	jj_event_stream_clear(&attempt->events);
 	jj_buffer_clear(&attempt->body);
-	free(attempt->lines);
+	free(attempt->header_lines);
 	free(attempt->id);
 	free(attempt);
 }
@@ -341,24 +342,25 @@
 	attempt_t *attempt = ctx;
 
 	attempt->status = head->status;
-	attempt->lines = strdup(head->lines);
-	judge_head(attempt);
+	attempt->header_lines = strdup(head->lines);
+	check_head(attempt);
 }
 
 /**
- * The next header's name, for the caller to free, or NULL; @p value points
- * into the same memory.
+ * Reads the next header line.
+ * @param value points into the memory of the returned name.
+ * @return the header's name, to be freed, or NULL at the end.
  */
 static char *
-read_line(const char **at, char **value)
+read_header(const char **cursor, char **value)
 {
-	size_t length = strcspn(*at, "\n");
+	size_t length = strcspn(*cursor, "\n");
 	char *line;
 
-	if (**at == '\0')
+	if (**cursor == '\0')
 		return NULL;
-	line = g_strndup(*at, length);
-	*at += length + ((*at)[length] == '\n');
+	line = g_strndup(*cursor, length);
+	*cursor += length + ((*cursor)[length] == '\n');
 	*value = strchr(line, ':');
 	if (*value == NULL) {
 		*value = line + strlen(line);
@@ -370,15 +372,15 @@
 }
 
 /**
- * Guards against bytes that are no answer to this request: a late answer to
- * another one (its echoed id differs), a body that a middleman has encoded,
- * a success without the server's proof. None of them may reach the caller.
+ * Guards against bytes that are not a valid answer to this request: a late
+ * answer to another one (its echoed id differs), a body that a proxy has
+ * encoded, a success without the server's stamp. None may reach the caller.
  */
 static void
-judge_head(attempt_t *attempt)
+check_head(attempt_t *attempt)
 {
 	const jj_front_headers_t *names = &attempt->relay->deployment->headers;
-	const char *at = attempt->lines;
+	const char *cursor = attempt->header_lines;
 	bool has_stamp = false;
 	char *value;
 	char *line;
@@ -386,14 +388,14 @@
 	attempt->kind =
 	    attempt->streams && attempt->status >= 200 && attempt->status < 300
 	    ? ANSWER_STREAM
-	    : ANSWER_WHOLE;
-	while ((line = read_line(&at, &value)) != NULL) {
+	    : ANSWER_UNSTREAMED;
+	while ((line = read_header(&cursor, &value)) != NULL) {
 		if (strcasecmp(line, names->request_id) == 0 &&
 		    strcmp(value, attempt->id) != 0)
-			attempt->kind = ANSWER_FOREIGN;
+			attempt->kind = ANSWER_INVALID;
 		if (strcasecmp(line, "Content-Encoding") == 0 &&
 		    strcasecmp(value, "identity") != 0)
-			attempt->kind = ANSWER_FOREIGN;
+			attempt->kind = ANSWER_INVALID;
 		if (strcasecmp(line, names->stamp) == 0)
 			has_stamp = true;
 		if (strcasecmp(line, names->not_run) == 0)
@@ -401,7 +403,7 @@
 		g_free(line);
 	}
 	if (attempt->status >= 200 && attempt->status < 300 && !has_stamp)
-		attempt->kind = ANSWER_FOREIGN;
+		attempt->kind = ANSWER_INVALID;
 }
 
 static jj_http_flow_t
@@ -415,58 +417,59 @@
 	(void)apr_thread_mutex_lock(relay->lock);
 	entry = find(relay, attempt->request);
 	if (entry != NULL && entry->attempt == attempt->attempt) {
-		if (attempt->kind == ANSWER_WHOLE)
-			take_whole(attempt, data, size);
+		if (attempt->kind == ANSWER_UNSTREAMED)
+			receive_body(attempt, data, size);
 		else if (attempt->kind == ANSWER_STREAM &&
 		    entry->exchange.call != NULL &&
 		    !jj_http_call_has_room(entry->exchange.call))
 			flow = JJ_HTTP_PAUSE;
 		else if (attempt->kind == ANSWER_STREAM)
-			take_events(attempt, entry, data, size);
-		if (attempt->kind == ANSWER_FOREIGN)
+			receive_events(attempt, entry, data, size);
+		if (attempt->kind == ANSWER_INVALID)
 			jj_http_client_cancel(relay->client, entry->transfer);
 	}
 	(void)apr_thread_mutex_unlock(relay->lock);
 	if (flow == JJ_HTTP_TAKEN && attempt->kind == ANSWER_STREAM)
-		tell_sign(attempt);
+		report_progress(attempt);
 	return flow;
 }
 
 static void
-take_events(attempt_t *attempt, entry_t *entry, const char *data, size_t size)
+receive_events(
+    attempt_t *attempt, entry_t *entry, const char *data, size_t size)
 {
-	jj_event_piece_t piece;
-	jj_event_found_t found;
+	jj_event_piece_t event;
+	jj_event_found_t result;
 
 	jj_event_stream_feed(&attempt->events, data, size);
-	while ((found = jj_event_stream_next(&attempt->events, &piece)) ==
+	while ((result = jj_event_stream_next(&attempt->events, &event)) ==
 	    JJ_EVENT_WHOLE)
-		pass_on(attempt, entry, &piece);
-	if (found == JJ_EVENT_FOREIGN)
-		attempt->kind = ANSWER_FOREIGN;
+		forward_event(attempt, entry, &event);
+	if (result == JJ_EVENT_FOREIGN)
+		attempt->kind = ANSWER_INVALID;
 }
 
 static void
-pass_on(attempt_t *attempt, entry_t *entry, const jj_event_piece_t *piece)
+forward_event(attempt_t *attempt, entry_t *entry, const jj_event_piece_t *event)
 {
 	entry->last_id = attempt->events.last_id;
 	if (entry->exchange.call == NULL) {
 		jj_event_piece_append_data(
-		    piece, !entry->has_text, &entry->text);
-		entry->has_text = entry->has_text || piece->has_data;
+		    event, !entry->has_text, &entry->text);
+		entry->has_text = entry->has_text || event->has_data;
 		return;
 	}
 	if (!entry->begun)
 		begin_answer(attempt, entry);
 	(void)jj_http_call_write(
-	    entry->exchange.call, piece->raw, piece->raw_size, true);
+	    entry->exchange.call, event->raw, event->raw_size, true);
 }
 
 static void
-take_whole(attempt_t *attempt, const char *data, size_t size)
+receive_body(attempt_t *attempt, const char *data, size_t size)
 {
-	if (attempt->body.bytes.size + size > WHOLE_MAX)
-		attempt->kind = ANSWER_FOREIGN;
+	if (attempt->body.bytes.size + size > ANSWER_MAX)
+		attempt->kind = ANSWER_INVALID;
 	else
 		jj_buffer_append(&attempt->body, data, size);
 }
@@ -483,7 +486,7 @@
 }
 
 static void
-answer_whole(attempt_t *attempt, entry_t *entry)
+send_unstreamed(attempt_t *attempt, entry_t *entry)
 {
 	GArray *fields = list_fields(attempt);
 	jj_http_answer_t answer = make_answer(attempt, fields);
@@ -500,7 +503,7 @@
 	jj_http_answer_t answer = {0};
 
 	answer.status = attempt->status;
-	if (attempt->relay->closes) {
+	if (attempt->relay->close_connections) {
 		answer.fields[0].name = "Connection";
 		answer.fields[0].value = "close";
 	}
@@ -509,17 +512,18 @@
 	return answer;
 }
 
-/** The server's headers, but those of its connection. */
+/** The server's headers without the hop-by-hop ones. */
 static GArray *
 list_fields(const attempt_t *attempt)
 {
 	GArray *fields = g_array_new(FALSE, FALSE, sizeof(jj_http_field_t));
-	const char *at = attempt->lines != NULL ? attempt->lines : "";
+	const char *cursor =
+	    attempt->header_lines != NULL ? attempt->header_lines : "";
 	jj_http_field_t field;
 	char *value;
 	char *line;
 
-	while ((line = read_line(&at, &value)) != NULL) {
+	while ((line = read_header(&cursor, &value)) != NULL) {
 		if (jj_stream_relay_is_hop_header(line)) {
 			g_free(line);
 			continue;
@@ -547,7 +551,7 @@
 {
 	attempt_t *attempt = ctx;
 	jj_stream_relay_t *relay = attempt->relay;
-	jj_backend_kind_t kind = judge_end(attempt, end);
+	jj_backend_kind_t kind = classify_end(attempt, end);
 	jj_bytes_t text = {NULL, 0};
 	bool is_current = false;
 	bool relayed = false;
@@ -560,26 +564,26 @@
 		entry->attempt = 0;
 		relayed = entry->begun;
 		if (kind == JJ_BACKEND_DONE || kind == JJ_BACKEND_REJECTED)
-			finish(attempt, entry, &text);
+			finish_answer(attempt, entry, &text);
 	}
 	(void)apr_thread_mutex_unlock(relay->lock);
 	if (is_current)
-		tell(attempt, kind, head->retry_after_ms, relayed, &text);
+		post_event(attempt, kind, head->retry_after_ms, relayed, &text);
 	jj_bytes_free(&text);
 	free_attempt(attempt);
 }
 
-/** The answer goes to its caller; an item's output to its job. */
+/** Ends the caller's answer, or returns the output of a batch item. */
 static void
-finish(attempt_t *attempt, entry_t *entry, jj_bytes_t *text)
+finish_answer(attempt_t *attempt, entry_t *entry, jj_bytes_t *text)
 {
 	uint64_t request = attempt->request;
 
 	if (entry->exchange.call == NULL) {
 		*text = entry->text;
 		memset(&entry->text, 0, sizeof(entry->text));
-	} else if (attempt->kind == ANSWER_WHOLE) {
-		answer_whole(attempt, entry);
+	} else if (attempt->kind == ANSWER_UNSTREAMED) {
+		send_unstreamed(attempt, entry);
 	} else {
 		if (!entry->begun)
 			begin_answer(attempt, entry);
@@ -590,26 +594,27 @@
 }
 
 static jj_backend_kind_t
-judge_end(const attempt_t *attempt, jj_http_end_t end)
+classify_end(const attempt_t *attempt, jj_http_end_t end)
 {
-	if (attempt->kind == ANSWER_FOREIGN)
+	if (attempt->kind == ANSWER_INVALID)
 		return JJ_BACKEND_BROKEN;
 	if (end != JJ_HTTP_COMPLETE)
 		return jj_attempt_kind_of_end(end);
 	if (attempt->kind == ANSWER_STREAM)
 		return jj_event_stream_has_rest(&attempt->events) ||
-			(!attempt->first_told && !attempt->resumes)
+			(!attempt->first_reported && !attempt->resumes)
 		    ? JJ_BACKEND_BROKEN
 		    : JJ_BACKEND_DONE;
-	return judge_status(attempt);
+	return classify_status(attempt);
 }
 
 /**
- * Only the server's own word is proof that it did not run a request. A status
- * that would tell the caller so without that word is not passed on.
+ * Only the server's own statement (421 or the not-run header) proves that it
+ * did not run a request. A status that implies it to the caller without that
+ * statement is not forwarded.
  */
 static jj_backend_kind_t
-judge_status(const attempt_t *attempt)
+classify_status(const attempt_t *attempt)
 {
 	if (attempt->status == 421)
 		return JJ_BACKEND_LEAVING;
@@ -630,7 +635,7 @@
 }
 
 static void
-tell(attempt_t *attempt, jj_backend_kind_t kind, jj_ms_t retry_after_ms,
+post_event(attempt_t *attempt, jj_backend_kind_t kind, jj_ms_t retry_after_ms,
     bool relayed, jj_bytes_t *text)
 {
 	jj_backend_event_t event = {0};
@@ -644,21 +649,21 @@
 	    attempt->relay->port.ctx, &event, attempt->status, text);
 }
 
-/** The first event at once, later ones now and then. */
+/** Reports the first event at once, later ones at intervals. */
 static void
-tell_sign(attempt_t *attempt)
+report_progress(attempt_t *attempt)
 {
 	jj_ms_t now;
 
 	if (attempt->events.last_id == JJ_EVENT_NO_ID)
 		return;
 	now = jj_monotonic_now();
-	if (!attempt->first_told) {
-		attempt->first_told = true;
-		attempt->sign_ms = now;
-		tell(attempt, JJ_BACKEND_FIRST, 0, false, NULL);
-	} else if (now - attempt->sign_ms >= SIGN_MS) {
-		attempt->sign_ms = now;
-		tell(attempt, JJ_BACKEND_TOKENS, 0, false, NULL);
+	if (!attempt->first_reported) {
+		attempt->first_reported = true;
+		attempt->progress_reported_ms = now;
+		post_event(attempt, JJ_BACKEND_FIRST, 0, false, NULL);
+	} else if (now - attempt->progress_reported_ms >= PROGRESS_REPORT_MS) {
+		attempt->progress_reported_ms = now;
+		post_event(attempt, JJ_BACKEND_TOKENS, 0, false, NULL);
 	}
 }
--- a/src/daemon/stream_relay.h
+++ b/src/daemon/stream_relay.h
@@ -1,12 +1,13 @@
 /**
  * @file stream_relay.h
- * @brief Answers of servers on their way to callers, byte for byte.
+ * @brief Forwards answers of backend servers to callers, byte for byte.
  *
- * An exchange has one attempt at a time; what an older attempt still brings
- * is dropped by its number. Of a stream only whole events whose ids follow on
- * the last one that the caller has are passed on (core/event_stream.h), so
- * that whatever is decided elsewhere, an answer is one run's output. An
- * answer that is no stream is passed on when it is whole.
+ * An exchange is one request with its answer, and has one attempt at a time;
+ * late data of an older attempt is dropped by its attempt number. Of a stream,
+ * only complete events are forwarded, and only those whose ids follow the last
+ * one that the caller has (core/event_stream.h). An answer is therefore the
+ * output of one run, whatever is decided elsewhere. An answer that is no
+ * stream is forwarded once it is complete.
  */
 #ifndef JJ_DAEMON_STREAM_RELAY_H
 #define JJ_DAEMON_STREAM_RELAY_H
@@ -16,23 +17,27 @@
 #include "adapters/http_server.h"
 #include "core/gateway.h"
 
-/** A request on its way to a server; the relay takes over what it owns. */
+/** A request for a server; the relay takes ownership of its memory. */
 typedef struct {
 	uint64_t request;
-	jj_http_call_t *call; /**< of a caller, NULL for an item */
-	char *id; /**< as the server shall echo it */
+	jj_http_call_t *call; /**< the caller's, NULL for a batch item */
+	char *id; /**< request id, which the server must echo */
 	char *method;
 	char *uri;
-	char **headers; /**< "Name: value", those to pass on */
+	char **headers; /**< "Name: value", to be forwarded */
 	size_t header_count;
 	jj_bytes_t body;
-	int64_t last_id; /**< event behind which it goes on, or none */
+	int64_t last_id; /**< event to resume after, or JJ_EVENT_NO_ID */
 } jj_stream_exchange_t;
 
-/** What the relay tells; called on its client's thread. */
+/** Events of the relay; called on its HTTP client's thread. */
 typedef struct {
 	void *ctx;
-	/** @param text output of an item that is done; taken over. */
+	/**
+	 * An attempt started to answer, made progress or ended.
+	 * @param text output of a completed batch item; the receiver takes
+	 * ownership of it.
+	 */
 	void (*on_event)(void *ctx, const jj_backend_event_t *event, int status,
 	    jj_bytes_t *text);
 } jj_stream_relay_port_t;
@@ -43,33 +48,34 @@
     const jj_deployment_t *deployment, const jj_stream_relay_port_t *port);
 void jj_stream_relay_destroy(jj_stream_relay_t *relay);
 
-/** From now on callers are told that their connections end. */
+/** From now on answers close their callers' connections. */
 void jj_stream_relay_close_callers(jj_stream_relay_t *relay);
 
 void jj_stream_relay_add(
     jj_stream_relay_t *relay, const jj_stream_exchange_t *exchange);
-/** Adds a header to an exchange that is being made. */
+/** Adds a header to an exchange before it is added to the relay. */
 void jj_stream_exchange_add_header(
     jj_stream_exchange_t *exchange, const char *name, const char *value);
-/** True while the exchange of that request is here. */
+/** True while the relay has the exchange of that request. */
 bool jj_stream_relay_has(jj_stream_relay_t *relay, uint64_t request);
-/** Sends an attempt. */
+/** Sends an attempt to a server. */
 void jj_stream_relay_start(jj_stream_relay_t *relay, uint64_t request,
     uint32_t attempt, const jj_gateway_start_t *start);
-/** Stops an attempt; nothing is heard of it any more. */
+/** Cancels an attempt; no more events of it are reported. */
 void jj_stream_relay_cancel(
     jj_stream_relay_t *relay, uint64_t request, uint32_t attempt);
 /**
- * Takes the exchange off and stops it.
- * @param call the caller's, NULL for an item; answered by who takes it.
- * @param relayed part of a streamed answer is at the caller.
+ * Removes an exchange and cancels its attempt.
+ * @param call the caller's, NULL for a batch item; to be answered by the
+ * receiver.
+ * @param relayed true when part of a streamed answer was sent to the caller.
  * @return false when it is gone already.
  */
 bool jj_stream_relay_take(jj_stream_relay_t *relay, uint64_t request,
     jj_http_call_t **call, bool *relayed);
-/** The caller's buffer has room again. */
+/** Resumes a paused answer once the caller's buffer has free space. */
 void jj_stream_relay_resume(jj_stream_relay_t *relay, uint64_t request);
-/** True for headers that concern only one connection. */
+/** True for hop-by-hop headers, which must not be forwarded. */
 bool jj_stream_relay_is_hop_header(const char *name);
 
 #endif
--- a/tests/adapters/stream_relay_test.cc
+++ b/tests/adapters/stream_relay_test.cc
@@ -1,6 +1,6 @@
 /**
  * @file stream_relay_test.cc
- * @brief Answers pass whole, however long their ids and headers are.
+ * @brief Answers are forwarded unchanged, however long ids and headers are.
  */
 #include <chrono>
 #include <condition_variable>
@@ -19,16 +19,16 @@
 namespace
 {
 
-constexpr int PATIENCE_MS = 10000;
+constexpr int WAIT_LIMIT_MS = 10000;
 
 struct LongCase {
 	const char *name;
 	size_t id; /**< bytes of the request's id */
-	size_t headers; /**< of the answer, besides id and stamp */
-	size_t value; /**< bytes of each of them */
+	size_t headers; /**< number in the answer, without id and stamp */
+	size_t value; /**< bytes of each header's value */
 };
 
-/** A caller, a relay and a server that answers what a test says. */
+/** A caller, a relay and a server whose answer the test writes. */
 class StreamRelay : public ::testing::TestWithParam<LongCase>
 {
       protected:
@@ -84,8 +84,8 @@
 	{
 		std::unique_lock<std::mutex> guard(lock);
 
-		ASSERT_TRUE(changed.wait_for(
-		    guard, std::chrono::milliseconds(PATIENCE_MS), condition));
+		ASSERT_TRUE(changed.wait_for(guard,
+		    std::chrono::milliseconds(WAIT_LIMIT_MS), condition));
 	}
 	void
 	start(const std::string &id)
@@ -104,13 +104,15 @@
 		jj_name_set(&start.server, "s1");
 		snprintf(start.address, sizeof(start.address), "%s",
 		    server.address.c_str());
-		start.budget_ms = PATIENCE_MS;
+		start.budget_ms = WAIT_LIMIT_MS;
 		jj_stream_relay_start(relay, 1, 1, &start);
 	}
 };
 
-/* Guards against an answer that no caller gets, as its id was cut, and one
- * that lost headers or the end of one. */
+/*
+ * Guards against fixed-size buffers: a truncated request id, whose answer was
+ * dropped as it did not match, and lost or truncated headers.
+ */
 TEST_P(StreamRelay, PassesLongHeaders)
 {
 	std::string id(GetParam().id, 'i');
@@ -124,7 +126,7 @@
 		answer += "X-H" + std::to_string(i) + ": " + value + "\r\n";
 	wait_for([this] { return caller != nullptr; });
 	start(id);
-	ASSERT_TRUE(server.accept_one(PATIENCE_MS));
+	ASSERT_TRUE(server.accept_one(WAIT_LIMIT_MS));
 	std::string request = read_until(server.last(), "\r\n\r\n");
 	EXPECT_NE(std::string::npos, request.find("X-Id: " + id + "\r\n"));
 	answer += "\r\nok";
@@ -133,11 +135,11 @@
 	wait_for([this] { return ended >= 0; });
 	ASSERT_EQ(JJ_BACKEND_DONE, ended);
 	std::string got = read_until(fd, "\r\n\r\nok");
-	size_t whole = 0;
+	size_t intact = 0;
 	for (size_t i = 0; i < GetParam().headers; i++)
-		whole += got.find("X-H" + std::to_string(i) + ": " + value +
-			     "\r\n") != std::string::npos;
-	EXPECT_EQ(GetParam().headers, whole);
+		intact += got.find("X-H" + std::to_string(i) + ": " + value +
+			      "\r\n") != std::string::npos;
+	EXPECT_EQ(GetParam().headers, intact);
 	(void)close(fd);
 }
 
