--- a/src/daemon/answers.c
+++ b/src/daemon/answers.c
@@ -9,15 +9,15 @@
 
 #include "daemon/answers.h"
 
-/** One row for each reason a request is given up on. */
+/** Status, code and title for a reason to abandon a request. */
 typedef struct {
 	jj_give_up_t reason;
 	int status;
 	const char *code;
 	const char *title;
-} give_up_row_t;
+} failure_row_t;
 
-static const give_up_row_t give_up_rows[] = {
+static const failure_row_t failure_rows[] = {
     {JJ_GIVE_UP_NO_SERVER, 503, "no_server",
 	"No backend server of this service can take the request."},
     {JJ_GIVE_UP_OVERLOADED, 429, "overloaded",
@@ -108,12 +108,12 @@
 	    runs[answer->run], answer->retry_after_ms};
 	size_t i;
 
-	for (i = 0; i < sizeof(give_up_rows) / sizeof(give_up_rows[0]); i++) {
-		if (give_up_rows[i].reason != answer->reason)
+	for (i = 0; i < sizeof(failure_rows) / sizeof(failure_rows[0]); i++) {
+		if (failure_rows[i].reason != answer->reason)
 			continue;
-		problem.status = give_up_rows[i].status;
-		problem.code = give_up_rows[i].code;
-		problem.title = give_up_rows[i].title;
+		problem.status = failure_rows[i].status;
+		problem.code = failure_rows[i].code;
+		problem.title = failure_rows[i].title;
 	}
 	return problem;
 }
@@ -167,9 +167,9 @@
 	return problem;
 }
 
-/** Whole seconds, rounded up: never back before the time told. */
+/** Seconds, rounded up so that no caller retries too early. */
 static void
-write_retry_after(jj_ms_t wait_ms, char *text, size_t room)
+write_retry_after(jj_ms_t wait_ms, char *text, size_t size)
 {
-	(void)snprintf(text, room, "%lld", (long long)((wait_ms + 999) / 1000));
+	(void)snprintf(text, size, "%lld", (long long)((wait_ms + 999) / 1000));
 }
--- a/src/daemon/assembler.c
+++ b/src/daemon/assembler.c
@@ -1,6 +1,6 @@
 /**
  * @file assembler.c
- * @brief Puts a streamed completion together into one whole answer.
+ * @brief Assembles a streamed completion into one answer.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -10,16 +10,16 @@
 
 #include "daemon/assembler.h"
 
-/** Most choices of one completion. */
+/** Maximum number of choices of a completion. */
 #define CHOICES_MAX 16
 
 typedef struct {
-	GString *text; /**< NULL: this choice was not seen */
+	GString *text; /**< NULL: not in the stream */
 	char finish_reason[32];
 } choice_t;
 
 struct jj_assembler {
-	json_t *head; /**< first event: id, model and the like */
+	json_t *head; /**< of the first event: id, model and other fields */
 	json_t *usage;
 	bool is_chat;
 	bool malformed;
@@ -28,10 +28,10 @@
 
 static const char data_field[] = "data:";
 
-static void take_line(jj_assembler_t *, const char *, size_t);
-static void take_event(jj_assembler_t *, json_t *);
-static void take_choice(jj_assembler_t *, const json_t *);
-static json_t *describe_choice(const jj_assembler_t *, size_t);
+static void parse_line(jj_assembler_t *, const char *, size_t);
+static void add_event(jj_assembler_t *, json_t *);
+static void add_choice(jj_assembler_t *, const json_t *);
+static json_t *make_choice(const jj_assembler_t *, size_t);
 
 jj_assembler_t *
 jj_assembler_create(void)
@@ -71,7 +71,7 @@
 	while (size > 0) {
 		end = memchr(events, '\n', size);
 		length = end != NULL ? (size_t)(end - events) : size;
-		take_line(assembler, events, length);
+		parse_line(assembler, events, length);
 		if (end == NULL)
 			return;
 		events += length + 1;
@@ -90,7 +90,7 @@
 	for (i = 0; i < CHOICES_MAX; i++) {
 		if (assembler->choices[i].text != NULL)
 			(void)json_array_append_new(
-			    choices, describe_choice(assembler, i));
+			    choices, make_choice(assembler, i));
 	}
 	if (assembler->malformed || json_array_size(choices) == 0) {
 		json_decref(choices);
@@ -129,7 +129,7 @@
 }
 
 static void
-take_line(jj_assembler_t *assembler, const char *line, size_t size)
+parse_line(jj_assembler_t *assembler, const char *line, size_t size)
 {
 	size_t skip = sizeof(data_field) - 1;
 	json_t *event;
@@ -142,14 +142,14 @@
 		return;
 	event = json_loadb(line + skip, size - skip, 0, NULL);
 	if (json_is_object(event))
-		take_event(assembler, event);
+		add_event(assembler, event);
 	else
 		assembler->malformed = true;
 	json_decref(event);
 }
 
 static void
-take_event(jj_assembler_t *assembler, json_t *event)
+add_event(jj_assembler_t *assembler, json_t *event)
 {
 	const json_t *choices = json_object_get(event, "choices");
 	json_t *usage = json_object_get(event, "usage");
@@ -162,7 +162,7 @@
 	}
 	json_array_foreach(choices, i, choice)
 	{
-		take_choice(assembler, choice);
+		add_choice(assembler, choice);
 	}
 	if (assembler->head != NULL)
 		return;
@@ -172,7 +172,7 @@
 }
 
 static void
-take_choice(jj_assembler_t *assembler, const json_t *json)
+add_choice(jj_assembler_t *assembler, const json_t *json)
 {
 	json_int_t index = json_integer_value(json_object_get(json, "index"));
 	const json_t *delta = json_object_get(json, "delta");
@@ -200,7 +200,7 @@
 }
 
 static json_t *
-describe_choice(const jj_assembler_t *assembler, size_t i)
+make_choice(const jj_assembler_t *assembler, size_t i)
 {
 	const choice_t *choice = &assembler->choices[i];
 	json_t *json = json_pack("{s:i}", "index", (int)i);
--- a/src/daemon/assembler.h
+++ b/src/daemon/assembler.h
@@ -1,10 +1,10 @@
 /**
  * @file assembler.h
- * @brief Puts a streamed completion together into one whole answer.
+ * @brief Assembles a streamed completion into one answer.
  *
- * Batch items are asked for as streams, though their result is whole: the
- * time between a stream's tokens shows an engine's load without lag, which
- * is what keeps batch out of the way of online requests.
+ * Batch items are requested as streams, though their result is one document:
+ * the time between a stream's tokens shows the server's load without lag, so
+ * that batch can yield to online requests at once.
  */
 #ifndef JJ_DAEMON_ASSEMBLER_H
 #define JJ_DAEMON_ASSEMBLER_H
@@ -15,18 +15,18 @@
 
 jj_assembler_t *jj_assembler_create(void);
 void jj_assembler_destroy(jj_assembler_t *assembler);
-/** Forgets all: the request starts anew. */
+/** Clears the state, before the request is sent again. */
 void jj_assembler_reset(jj_assembler_t *assembler);
-/** Takes whole server-sent events. */
+/** Adds complete server-sent events. */
 void
 jj_assembler_feed(jj_assembler_t *assembler, const char *events, size_t size);
 /**
- * The answer as a request without "stream" would have got it.
- * @return empty when an event was malformed or no choice was seen.
+ * Builds the answer that a request without "stream" would have got.
+ * @return empty when an event was malformed or none had a choice.
  */
 jj_bytes_t jj_assembler_finish(jj_assembler_t *assembler);
 
-/** The request body with "stream" set; empty when it is not JSON. */
+/** Copies a request body with "stream" set; empty if it is no JSON object. */
 jj_bytes_t jj_assembler_ask(const jj_bytes_t *body);
 
 #endif
--- a/src/daemon/attempt_end.c
+++ b/src/daemon/attempt_end.c
@@ -1,6 +1,6 @@
 /**
  * @file attempt_end.c
- * @brief What the end of an HTTP exchange with a server means for its attempt.
+ * @brief Maps the end of an HTTP request to the result of an attempt.
  */
 #include "daemon/attempt_end.h"
 
--- a/src/daemon/attempt_end.h
+++ b/src/daemon/attempt_end.h
@@ -1,6 +1,6 @@
 /**
  * @file attempt_end.h
- * @brief What the end of an HTTP exchange with a server means for its attempt.
+ * @brief Maps the end of an HTTP request to the result of an attempt.
  */
 #ifndef JJ_DAEMON_ATTEMPT_END_H
 #define JJ_DAEMON_ATTEMPT_END_H
@@ -8,7 +8,7 @@
 #include "adapters/http_client.h"
 #include "core/dispatch.h"
 
-/** How an attempt ended whose answer is not whole. */
+/** Result of an attempt whose answer is not complete. */
 jj_backend_kind_t jj_attempt_kind_of_end(jj_http_end_t end);
 
 #endif
--- a/src/daemon/main.c
+++ b/src/daemon/main.c
@@ -2,7 +2,7 @@
  * @file main.c
  * @brief jujubed: the daemon of an entry VM.
  *
- * Exit codes: 0 stopped as asked, 1 could not start, 2 the command line or
+ * Exit codes: 0 stopped on request, 1 could not start, 2 the command line or
  * the settings are wrong (nothing was started).
  */
 #include <signal.h>
@@ -27,11 +27,11 @@
 #include "daemon/node.h"
 
 #define EXIT_USAGE 2
-/** How often a planned stop looks whether all is done, ms. */
-#define DRAIN_LOOK_MS 20
-/** How often a running daemon looks whether it was told to stop, ms. */
-#define STOP_LOOK_MS 200
-/** A stop ends so long before the process would be killed, ms. */
+/** Interval at which a drain checks whether all work has ended, ms. */
+#define DRAIN_POLL_MS 20
+/** Interval at which a running daemon checks for a stop request, ms. */
+#define STOP_POLL_MS 200
+/** A stop ends this long before the platform would kill the process, ms. */
 #define STOP_MARGIN_MS 400
 
 static char *settings_path;
@@ -49,10 +49,10 @@
 };
 
 /**
- * Blocks from this size on are given back to the system when they are freed,
- * bytes. Streams' buffers of that size else stay in the arenas of the threads
- * that held them: 65,760, 63,760 and 67,476 KiB at 1,000 streams with the
- * default, 60,836, 60,012 and 60,280 with this.
+ * Blocks of at least this size are returned to the system when freed, bytes.
+ * Otherwise stream buffers of that size stay in the arenas of their threads:
+ * 1,000 streams used 65,760, 63,760 and 67,476 KiB with malloc's default, and
+ * 60,836, 60,012 and 60,280 KiB with this.
  */
 #define MMAP_THRESHOLD (32 * 1024)
 
@@ -135,7 +135,7 @@
 		deployment = jj_deployment_find(form);
 		if (deployment == NULL) {
 			jj_log(JJ_LOG_ERROR, "start_failed",
-			    "platform.form=%s must be a known one", form);
+			    "platform.form=%s is not a known form", form);
 			goto out_log;
 		}
 	}
@@ -171,37 +171,38 @@
     sigset_t *signals)
 {
 	jj_gateway_node_t *node = jj_gateway_node_create(settings, deployment);
-	jj_ms_t begun;
-	jj_ms_t until;
+	jj_ms_t stop_begin_ms;
+	jj_ms_t deadline_ms;
 	int signal;
 
 	if (node == NULL)
 		return EXIT_FAILURE;
 	log_start(settings);
-	/* Nothing in the file changes while a VM runs. */
-	while ((signal = wait_for_signal(signals, STOP_LOOK_MS)) == 0 ||
+	/* No setting can change while a VM runs; SIGHUP is only logged. */
+	while ((signal = wait_for_signal(signals, STOP_POLL_MS)) == 0 ||
 	    signal == SIGHUP)
 		if (signal == SIGHUP)
 			jj_log(JJ_LOG_INFO, "reload", "changed=0");
-	begun = jj_monotonic_now();
-	until = begun + settings->stop.drain_ms;
+	stop_begin_ms = jj_monotonic_now();
+	deadline_ms = stop_begin_ms + settings->stop.drain_ms;
 	if (settings->stop.grace_s > 0)
-		until = begun + (jj_ms_t)(settings->stop.grace_s * 1000) -
-		    STOP_MARGIN_MS;
+		deadline_ms = stop_begin_ms +
+		    (jj_ms_t)(settings->stop.grace_s * 1000) - STOP_MARGIN_MS;
 	jj_log(JJ_LOG_INFO, "stopping", "signal=%d limit_ms=%lld", signal,
-	    (long long)(until - begun));
+	    (long long)(deadline_ms - stop_begin_ms));
 	jj_gateway_node_leave(node);
-	while (jj_monotonic_now() < until &&
+	while (jj_monotonic_now() < deadline_ms &&
 	    (!jj_gateway_node_is_idle(node) ||
-		jj_monotonic_now() < begun + settings->stop.least_ms)) {
-		/* The balancer has noticed: what still comes came late. */
-		if (jj_monotonic_now() >= begun + settings->stop.least_ms)
+		jj_monotonic_now() < stop_begin_ms + settings->stop.least_ms)) {
+		/* By now the load balancer must have removed this VM. */
+		if (jj_monotonic_now() >=
+		    stop_begin_ms + settings->stop.least_ms)
 			jj_gateway_node_refuse(node);
-		(void)wait_for_signal(signals, DRAIN_LOOK_MS);
+		(void)wait_for_signal(signals, DRAIN_POLL_MS);
 	}
 	jj_log(JJ_LOG_INFO, "stopped", "status=0 idle=%d took_ms=%lld",
 	    jj_gateway_node_is_idle(node),
-	    (long long)(jj_monotonic_now() - begun));
+	    (long long)(jj_monotonic_now() - stop_begin_ms));
 	jj_gateway_node_destroy(node);
 	return 0;
 }
@@ -215,24 +216,24 @@
 }
 
 /**
- * Waits for a signal, or for an operator's drain, and then until nothing is
- * in progress any more; a second signal, or the drain limit, ends the wait.
+ * Waits for a signal or an operator's drain, and then until no work is in
+ * progress; a second signal or the drain time limit ends the wait.
  */
 static void
 wait_for_stop(jj_node_t *node, const jj_settings_t *settings, sigset_t *signals)
 {
-	jj_ms_t until;
+	jj_ms_t deadline_ms;
 	int signal;
 
-	while ((signal = wait_for_signal(signals, STOP_LOOK_MS)) == 0 ||
+	while ((signal = wait_for_signal(signals, STOP_POLL_MS)) == 0 ||
 	    signal == SIGHUP) {
 		if (atomic_load(&node->leaving))
 			break;
 	}
 	jj_node_leave(node);
-	until = jj_monotonic_now() + settings->stop.drain_ms;
-	while (!jj_node_is_idle(node) && jj_monotonic_now() < until) {
-		signal = wait_for_signal(signals, DRAIN_LOOK_MS);
+	deadline_ms = jj_monotonic_now() + settings->stop.drain_ms;
+	while (!jj_node_is_idle(node) && jj_monotonic_now() < deadline_ms) {
+		signal = wait_for_signal(signals, DRAIN_POLL_MS);
 		if (signal == SIGTERM || signal == SIGINT) {
 			jj_log(JJ_LOG_WARN, "stop_forced", "by=signal");
 			return;
@@ -242,7 +243,7 @@
 		jj_log(JJ_LOG_WARN, "stop_forced", "by=drain_limit");
 }
 
-/** The signal that came within the time, or 0. */
+/** Returns the signal received within @p wait_ms, or 0. */
 static int
 wait_for_signal(const sigset_t *signals, jj_ms_t wait_ms)
 {
--- a/src/daemon/sse.c
+++ b/src/daemon/sse.c
@@ -1,6 +1,6 @@
 /**
  * @file sse.c
- * @brief Finds the ends of server-sent events in a stream being relayed.
+ * @brief Splits a relayed stream into server-sent events.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -11,8 +11,8 @@
 static const char end_mark[] = "data: [DONE]";
 static const char data_field[] = "data:";
 
-static void scan(jj_sse_t *, size_t);
-static void take_event(jj_sse_t *, const char *, size_t);
+static void find_events(jj_sse_t *, size_t);
+static void count_event(jj_sse_t *, const char *, size_t);
 
 void
 jj_sse_feed(jj_sse_t *sse, const char *data, size_t size)
@@ -23,13 +23,13 @@
 		sse->too_long = true;
 		return;
 	}
-	if (sse->size + size > sse->room) {
-		sse->room = sse->room * 2 + size + 512;
-		sse->pending = jj_realloc(sse->pending, sse->room);
+	if (sse->size + size > sse->capacity) {
+		sse->capacity = sse->capacity * 2 + size + 512;
+		sse->pending = jj_realloc(sse->pending, sse->capacity);
 	}
 	memcpy(sse->pending + sse->size, data, size);
 	sse->size += size;
-	scan(sse, from);
+	find_events(sse, from);
 }
 
 void
@@ -56,9 +56,9 @@
 	memset(sse, 0, sizeof(*sse));
 }
 
-/** Looks for blank lines from @p from on; they end events. */
+/** Searches for blank lines, which end events, starting at @p from. */
 static void
-scan(jj_sse_t *sse, size_t from)
+find_events(jj_sse_t *sse, size_t from)
 {
 	size_t i;
 	size_t end;
@@ -71,13 +71,13 @@
 			end--;
 		if (sse->pending[end] != '\n')
 			continue;
-		take_event(sse, sse->pending + sse->whole, i + 1 - sse->whole);
+		count_event(sse, sse->pending + sse->whole, i + 1 - sse->whole);
 		sse->whole = i + 1;
 	}
 }
 
 static void
-take_event(jj_sse_t *sse, const char *event, size_t size)
+count_event(jj_sse_t *sse, const char *event, size_t size)
 {
 	if (size >= sizeof(end_mark) - 1 &&
 	    memcmp(event, end_mark, sizeof(end_mark) - 1) == 0)
