--- a/src/daemon/answers.h
+++ b/src/daemon/answers.h
@@ -19,7 +19,7 @@
 	const char *title;
 	const char *detail; /**< NULL: nothing to add to the title */
 	const char *run; /**< "not_run", "run", "unknown" or NULL */
-	jj_ms_t retry_after_ms; /**< 0: no Retry-After, retrying is useless */
+	jj_ms_t retry_after_ms; /**< 0: the caller should not retry */
 } jj_problem_t;
 
 /** Writes the problem document as JSON text. */
--- a/src/daemon/assembler.h
+++ b/src/daemon/assembler.h
@@ -3,8 +3,8 @@
  * @brief Assembles a streamed completion into one answer.
  *
  * Batch items are requested as streams, though their result is one document:
- * the time between a stream's tokens shows the server's load without lag, so
- * that batch can yield to online requests at once.
+ * the time between a stream's tokens shows the server's load without lag,
+ * which lets batch yield to online requests in time.
  */
 #ifndef JJ_DAEMON_ASSEMBLER_H
 #define JJ_DAEMON_ASSEMBLER_H
