--- a/tests/adapters/health_test.cc
+++ b/tests/adapters/health_test.cc
@@ -100,7 +100,7 @@
  * Guards against a crash that is charged to no request: a terminating process
  * accepts the probe and closes its connection, and no retry finds it down.
  */
-TEST_F(HealthWatch, ALookThatADyingProcessCutsIsMadeAgain)
+TEST_F(HealthWatch, AProbeThatATerminatingProcessCutsOffIsRetried)
 {
 	defer_event();
 	cut_probe();
@@ -116,7 +116,7 @@
 }
 
 /* Guards against endless probes of a server that cuts off each of them. */
-TEST_F(HealthWatch, ALookThatNothingWaitsForIsNotMadeAgain)
+TEST_F(HealthWatch, AProbeThatNoEventWaitsForIsNotRetried)
 {
 	jj_health_watch_look(watch, &name, address.c_str(), false);
 	cut_probe();
