--- a/src/daemon/relay.c
+++ b/src/daemon/relay.c
@@ -29,7 +29,7 @@
 	uint64_t request;
 	uint32_t attempt;
 	jj_name_t server;
-	bool non_idempotent; /**< no status alone proves that it did not run */
+	bool at_most_once; /**< no status alone proves that it did not run */
 	bool streams; /**< the answer is a stream of server-sent events */
 	bool assembles; /**< the stream is assembled into one answer */
 	bool first_reported;
@@ -328,7 +328,7 @@
 	attempt->request = start->request;
 	attempt->attempt = start->attempt;
 	attempt->server = start->server;
-	attempt->non_idempotent = !idempotent;
+	attempt->at_most_once = !idempotent;
 	attempt->assembles = entry->assembler != NULL;
 	attempt->streams =
 	    exchange->is_model && (exchange->streams || attempt->assembles);
@@ -397,7 +397,7 @@
 		request.body_size = strlen(resume);
 	}
 	request.timeout_ms = timeout_ms;
-	request.once = attempt->non_idempotent;
+	request.once = attempt->at_most_once;
 	request.ctx = attempt;
 	request.on_head = on_head;
 	request.on_data = on_data;
