--- a/src/daemon/health.h
+++ b/src/daemon/health.h
@@ -6,6 +6,9 @@
  * held back until a health check of the server has ended. A crashed server is
  * thus reported to the core first, with all its requests in flight, so that a
  * request that crashes servers is recognised before it is sent to another one.
+ *
+ * A check is cut off when its connection breaks before the answer is complete,
+ * as a terminating process may still accept connections. It is then retried.
  */
 #ifndef JJ_DAEMON_HEALTH_H
 #define JJ_DAEMON_HEALTH_H
--- a/src/daemon/relay.c
+++ b/src/daemon/relay.c
@@ -22,14 +22,15 @@
 /** Interval at which a stream's tokens are reported to the core, ms. */
 #define TOKEN_REPORT_MS 200
 
-/** One attempt at a server; used by its shard's client thread only. */
+/** One attempt at a server; once started, used by the client thread only. */
 typedef struct {
 	jj_relay_t *relay;
 	uint32_t shard;
 	uint64_t request;
 	uint32_t attempt;
 	jj_name_t server;
-	bool at_most_once; /**< no status alone proves that it did not run */
+	/** Non-idempotent; the status alone does not prove that it ran or not. */
+	bool at_most_once;
 	bool streams; /**< the answer is a stream of server-sent events */
 	bool assembles; /**< the stream is assembled into one answer */
 	bool first_reported;
