--- a/src/daemon/node.c
+++ b/src/daemon/node.c
@@ -1,6 +1,6 @@
 /**
  * @file node.c
- * @brief Builds a VM's daemon from its parts and takes it down again.
+ * @brief Creates and destroys a VM's daemon and all its parts.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -10,13 +10,13 @@
 #include "adapters/random.h"
 #include "daemon/node.h"
 
-/** Stands for the boot of a server that died before it was learned. */
+/** Boot number used for a server that crashed before its boot was known. */
 #define UNKNOWN_BOOT 1
 
 static void fill_core_settings(const jj_node_t *, jj_core_settings_t *);
 static void create_locks(jj_node_t *);
 static void create_core(jj_node_t *);
-static void learn_seeds(jj_node_t *);
+static void add_seeds(jj_node_t *);
 static bool create_adapters(jj_node_t *);
 static void create_batch(jj_node_t *);
 static void take_message(void *, jj_message_t *);
@@ -123,7 +123,7 @@
 
 	fill_core_settings(node, &core);
 	node->core = jj_core_create(&core);
-	learn_seeds(node);
+	add_seeds(node);
 }
 
 static void
@@ -151,7 +151,7 @@
 }
 
 static void
-learn_seeds(jj_node_t *node)
+add_seeds(jj_node_t *node)
 {
 	const jj_settings_t *settings = node->settings;
 	jj_server_t server;
@@ -195,7 +195,7 @@
 	const jj_settings_t *settings = node->settings;
 	jj_relay_port_t relay = {node, take_backend, take_leaving};
 	jj_health_port_t health = {
-	    node, take_health, take_report, jj_node_release_held};
+	    node, take_health, take_report, jj_node_post_deferred_event};
 
 	node->control =
 	    jj_loop_create(jj_node_control_next, jj_node_control_tick, node);
@@ -252,16 +252,16 @@
 	} else if (result->owner == JJ_OWNER_BATCH) {
 		jj_node_post_bulk_result(node, result);
 	} else {
-		jj_node_take_history(node, result);
+		jj_node_answer_history(node, result);
 		jj_platform_result_clear(result);
 	}
 }
 
 static void
-take_backend(void *ctx, const jj_backend_event_t *event, jj_whole_t *whole,
+take_backend(void *ctx, const jj_backend_event_t *event, jj_whole_t *response,
     const jj_name_t *server, bool suspect)
 {
-	jj_node_post_backend(ctx, event, whole, server, suspect);
+	jj_node_post_backend(ctx, event, response, server, suspect);
 }
 
 static void
@@ -277,8 +277,9 @@
 	if (health == JJ_HEALTH_UNSURE)
 		return;
 	/*
-	 * A server abroad may die before its boot was ever learned; its death
-	 * still counts against what it ran, once.
+	 * A server in another failure domain may crash before its boot number
+	 * is known. The crash still counts once against the requests that the
+	 * server ran.
 	 */
 	if (health != JJ_HEALTH_UP)
 		jj_node_post_server(ctx, server, JJ_SERVER_DOWN,
--- a/src/daemon/node_batch.c
+++ b/src/daemon/node_batch.c
@@ -11,17 +11,17 @@
 #include "daemon/assembler.h"
 #include "daemon/node.h"
 
-/** Tokens with this bit belong to the worker, others to job operations. */
+/** Set in tokens of the batch worker, not in those of job operations. */
 #define TOKEN_WORKER (UINT64_C(1) << 63)
-/** Uploads are looked at this often for writes to repeat, ms. */
+/** Interval at which uploads are checked for writes to repeat, ms. */
 #define UPLOAD_TICK_MS 50
-/** Bytes of text held for one token, as a rough estimate. */
+/** Rough estimate of the bytes of text in one token. */
 #define BYTES_PER_TOKEN 4
 
 typedef enum {
 	BATCH_JOB,
 	BATCH_ITEM_END,
-	BATCH_CHANGE,
+	BATCH_JOB_CHANGE,
 	BATCH_VM_LOST,
 	BATCH_SHARES,
 	BATCH_SERVICES,
@@ -29,12 +29,12 @@
 	BATCH_RESULT,
 } batch_kind_t;
 
-/** What is posted to the batch loop, with what it owns. */
+/** A task posted to the batch loop; owns the data it points to. */
 typedef struct {
 	jj_task_t task;
 	batch_kind_t kind;
 	jj_job_operation_t job;
-	uint64_t number; /**< operation, item, version or room */
+	uint64_t number; /**< operation, item or version */
 	char text[JJ_OBJECT_KEY_MAX + 1];
 	char team[JJ_NAME_MAX + 1];
 	char key[JJ_IDEMPOTENCY_KEY_MAX + 1];
@@ -53,10 +53,10 @@
 static void run_task(jj_task_t *, void *, jj_ms_t);
 static void run_job(jj_node_t *, batch_task_t *, jj_ms_t, jj_actions_t *);
 static void take_services(jj_node_t *, batch_task_t *);
-static void update_room(jj_node_t *);
-static void carry_out(jj_node_t *, jj_actions_t *);
+static void update_free_capacity(jj_node_t *);
+static void execute_actions(jj_node_t *, jj_actions_t *);
 static void begin_item(jj_node_t *, jj_action_t *);
-static void ask_as_stream(jj_exchange_t *);
+static void request_as_stream(jj_exchange_t *);
 static void free_task(batch_task_t *);
 static batch_task_t *create_task(batch_kind_t);
 
@@ -99,7 +99,7 @@
 void
 jj_node_post_job_change(jj_node_t *node, const char *key, uint64_t version)
 {
-	batch_task_t *task = create_task(BATCH_CHANGE);
+	batch_task_t *task = create_task(BATCH_JOB_CHANGE);
 
 	(void)snprintf(task->text, sizeof(task->text), "%s", key);
 	task->number = version;
@@ -174,10 +174,10 @@
 	jj_node_t *node = ctx;
 	jj_actions_t actions = TAILQ_HEAD_INITIALIZER(actions);
 
-	update_room(node);
+	update_free_capacity(node);
 	jj_batch_tick(node->batch, now, &actions);
 	jj_jobs_tick(node->jobs, now, &actions);
-	carry_out(node, &actions);
+	execute_actions(node, &actions);
 	if (now >= node->next_upload_tick) {
 		node->next_upload_tick = now + UPLOAD_TICK_MS;
 		jj_node_tick_uploads(node, now);
@@ -234,7 +234,7 @@
 		jj_batch_end_item(node->batch, task->number, task->outcome,
 		    task->status, &task->body, now, &actions);
 		break;
-	case BATCH_CHANGE:
+	case BATCH_JOB_CHANGE:
 		jj_batch_take_change(
 		    node->batch, task->text, task->number, now, &actions);
 		break;
@@ -261,9 +261,9 @@
 			    node->jobs, &task->result, now, &actions);
 		break;
 	}
-	update_room(node);
+	update_free_capacity(node);
 	jj_batch_tick(node->batch, now, &actions);
-	carry_out(node, &actions);
+	execute_actions(node, &actions);
 	atomic_store(&node->batch_idle, jj_batch_is_idle(node->batch));
 	free_task(task);
 }
@@ -303,12 +303,13 @@
 }
 
 /**
- * The control half tells how many items may be out at once, not how many
- * more: what it said before the worker's latest items reached it would else
- * be counted twice, or never again after it turned items down.
+ * The control loop reports how many items may run at once, not how many more
+ * may start. A number of free slots that was sent before the worker's latest
+ * items reached the control loop would count these slots twice, and would not
+ * be raised again after the control loop refused items.
  */
 static void
-update_room(jj_node_t *node)
+update_free_capacity(jj_node_t *node)
 {
 	uint32_t running = jj_batch_counts(node->batch).items_running;
 	uint32_t limit = 0;
@@ -320,7 +321,7 @@
 }
 
 static void
-carry_out(jj_node_t *node, jj_actions_t *actions)
+execute_actions(jj_node_t *node, jj_actions_t *actions)
 {
 	jj_action_t *action;
 
@@ -335,7 +336,7 @@
 			begin_item(node, action);
 			break;
 		case JJ_ACTION_ITEM_CANCEL:
-			jj_node_post_gone(
+			jj_node_post_caller_gone(
 			    node, action->body.item.item | JJ_REQUEST_ITEM);
 			break;
 		case JJ_ACTION_JOB_ANSWER:
@@ -356,7 +357,7 @@
 	}
 }
 
-/** An item becomes a request like others, of the class batch. */
+/** Submits an item as a request of the batch class. */
 static void
 begin_item(jj_node_t *node, jj_action_t *action)
 {
@@ -381,7 +382,7 @@
 	memset(&action->body.item.path, 0, sizeof(jj_bytes_t));
 	memset(&action->body.item.body, 0, sizeof(jj_bytes_t));
 	if (exchange.is_model)
-		ask_as_stream(&exchange);
+		request_as_stream(&exchange);
 	(void)snprintf(exchange.operation_id, sizeof(exchange.operation_id),
 	    "%s-item-%llx", node->settings->name.text,
 	    (unsigned long long)action->body.item.item);
@@ -391,8 +392,9 @@
 	jj_node_post_request(node, &request, NULL, "", NULL, "");
 }
 
+/** Asks the server for a streamed response if the body allows it. */
 static void
-ask_as_stream(jj_exchange_t *exchange)
+request_as_stream(jj_exchange_t *exchange)
 {
 	jj_bytes_t streamed = jj_assembler_ask(&exchange->body);
 
--- a/src/daemon/node_callers.c
+++ b/src/daemon/node_callers.c
@@ -1,6 +1,6 @@
 /**
  * @file node_callers.c
- * @brief The callers' interface: completions, plain services, batches.
+ * @brief The callers' HTTP interface: completions, other services, batches.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -13,21 +13,21 @@
 #include "daemon/answers.h"
 #include "daemon/node.h"
 
-/** Bytes of one block of a prompt for prefix routing, as engines cache. */
-#define PREFIX_BLOCK 256
-/** Bytes of text held for one token, as a rough estimate. */
+/** Bytes of a prompt block for prefix routing, as engines cache blocks. */
+#define PREFIX_BLOCK_BYTES 256
+/** Rough estimate of the bytes of text in one token. */
 #define BYTES_PER_TOKEN 4
-/** Tokens of an answer when the caller names no limit. */
+/** Tokens of an answer when the caller sets no max_tokens. */
 #define DEFAULT_MAX_TOKENS 16
-/** Longest deadline a caller may ask for, ms. */
-#define DEADLINE_MOST_MS 3600000
+/** Longest deadline that a caller may set, ms. */
+#define DEADLINE_MAX_MS 3600000
 
 static void on_request(void *, jj_http_call_t *);
-static bool takes_upload(void *, const jj_http_call_t *);
-static void on_gone(void *, jj_http_call_t *);
-static void on_room(void *, jj_http_call_t *);
+static bool is_upload(void *, const jj_http_call_t *);
+static void on_caller_gone(void *, jj_http_call_t *);
+static void on_writable(void *, jj_http_call_t *);
 static void serve_model(jj_node_t *, jj_http_call_t *);
-static void serve_plain(jj_node_t *, jj_http_call_t *);
+static void serve_service(jj_node_t *, jj_http_call_t *);
 static void serve_batches(jj_node_t *, jj_http_call_t *);
 static void serve_job(jj_node_t *, jj_http_call_t *, const char *);
 static bool
@@ -48,8 +48,8 @@
 	    settings->callers.connections, settings->callers.header_bytes,
 	    settings->callers.body_bytes, settings->callers.stream_bytes,
 	    settings->callers.idle_ms};
-	jj_http_port_t port = {node, on_request, takes_upload,
-	    jj_node_take_upload, on_gone, on_room};
+	jj_http_port_t port = {node, on_request, is_upload, jj_node_feed_upload,
+	    on_caller_gone, on_writable};
 
 	node->callers = jj_http_server_create(&limits, &port);
 	return node->callers != NULL;
@@ -69,7 +69,7 @@
 		strcmp(path, "/v1/chat/completions") == 0))
 		serve_model(node, call);
 	else if (strncmp(path, "/services/", 10) == 0)
-		serve_plain(node, call);
+		serve_service(node, call);
 	else if (strncmp(path, "/v1/batches", 11) == 0)
 		serve_batches(node, call);
 	else if (strcmp(path, "/ready") == 0 || strcmp(path, "/health") == 0)
@@ -79,31 +79,31 @@
 }
 
 static bool
-takes_upload(void *ctx, const jj_http_call_t *call)
+is_upload(void *ctx, const jj_http_call_t *call)
 {
 	(void)ctx;
 	return jj_node_is_upload(call);
 }
 
 static void
-on_gone(void *ctx, jj_http_call_t *call)
+on_caller_gone(void *ctx, jj_http_call_t *call)
 {
 	jj_node_t *node = ctx;
 
 	if (jj_node_is_upload(call))
-		jj_node_drop_upload(node, call);
-	else if (jj_node_is_results(call))
+		jj_node_abort_upload(node, call);
+	else if (jj_node_is_results_call(call))
 		jj_node_resume_results(node, call);
 	else if (jj_relay_request_of(call) != 0)
-		jj_node_post_gone(node, jj_relay_request_of(call));
+		jj_node_post_caller_gone(node, jj_relay_request_of(call));
 }
 
 static void
-on_room(void *ctx, jj_http_call_t *call)
+on_writable(void *ctx, jj_http_call_t *call)
 {
 	jj_node_t *node = ctx;
 
-	if (jj_node_is_results(call))
+	if (jj_node_is_results_call(call))
 		jj_node_resume_results(node, call);
 	else if (jj_relay_request_of(call) != 0)
 		jj_relay_resume(node->relay, jj_relay_request_of(call));
@@ -142,9 +142,9 @@
 	    node, call, &request, &exchange, jj_http_call_path(call));
 }
 
-/** /services/NAME/REST goes to service NAME as /REST. */
+/** Forwards /services/NAME/REST to service NAME as /REST. */
 static void
-serve_plain(jj_node_t *node, jj_http_call_t *call)
+serve_service(jj_node_t *node, jj_http_call_t *call)
 {
 	const char *name = jj_http_call_path(call) + strlen("/services/");
 	const char *rest = strchr(name, '/');
@@ -168,7 +168,7 @@
 	begin_exchange(node, call, &request, &exchange, rest);
 }
 
-/** Deadline, team, key, trace; answers the call when one is malformed. */
+/** Reads deadline, team, key and trace; answers 400 if one is malformed. */
 static bool
 read_common(jj_node_t *node, jj_http_call_t *call, jj_request_t *request,
     jj_exchange_t *exchange)
@@ -183,7 +183,7 @@
 
 	if (deadline != NULL) {
 		wait = strtol(deadline, &end, 10);
-		if (*end != '\0' || wait <= 0 || wait > DEADLINE_MOST_MS) {
+		if (*end != '\0' || wait <= 0 || wait > DEADLINE_MAX_MS) {
 			refuse(call, 400, "deadline",
 			    "Jujube-Deadline-Ms must be 1 to 3600000.");
 			return false;
@@ -249,7 +249,7 @@
 	return valid;
 }
 
-/** The prompt's text; of a chat, its contents joined by newlines. */
+/** Returns the prompt; of a chat, the messages joined by newlines. */
 static jj_bytes_t
 join_prompt(const json_t *root)
 {
@@ -277,17 +277,19 @@
 	return bytes;
 }
 
-/** Chained hashes of the prompt's whole blocks, as engines cache them. */
+/** Computes chained hashes of the prompt's full blocks. */
 static void
 hash_prefixes(jj_request_t *request, const jj_bytes_t *prompt)
 {
 	uint64_t chain = 0;
 	size_t at;
 
-	for (at = 0; at + PREFIX_BLOCK <= prompt->size; at += PREFIX_BLOCK) {
+	for (at = 0; at + PREFIX_BLOCK_BYTES <= prompt->size;
+	     at += PREFIX_BLOCK_BYTES) {
 		if (request->prefix_count == JJ_PREFIX_BLOCKS_MAX)
 			return;
-		chain = jj_hash_bytes(prompt->data + at, PREFIX_BLOCK, chain);
+		chain =
+		    jj_hash_bytes(prompt->data + at, PREFIX_BLOCK_BYTES, chain);
 		request->prefix[request->prefix_count++] = chain;
 	}
 }
@@ -341,7 +343,7 @@
 		refuse(call, 503, "stopping", "This VM is stopping.");
 		return;
 	}
-	pending = jj_node_add_pending(node, call, jj_node_answer_plainly);
+	pending = jj_node_add_pending(node, call, jj_node_answer_json);
 	if (strcmp(method, "POST") == 0) {
 		jj_node_post_job(node, JJ_JOB_SUBMIT, pending->operation, NULL,
 		    team_of(call), jj_http_call_header(call, "Idempotency-Key"),
@@ -353,7 +355,7 @@
 	    node, JJ_JOB_LIST, pending->operation, after, NULL, NULL, NULL, 0);
 }
 
-/** ID, ID/cancel or ID/results below /v1/batches/. */
+/** Serves ID, ID/cancel and ID/results below /v1/batches/. */
 static void
 serve_job(jj_node_t *node, jj_http_call_t *call, const char *rest)
 {
@@ -371,13 +373,11 @@
 	if (strcmp(rest, "/results") == 0) {
 		jj_node_begin_results(node, call, id);
 	} else if (strcmp(rest, "/cancel") == 0 && is_post) {
-		pending =
-		    jj_node_add_pending(node, call, jj_node_answer_plainly);
+		pending = jj_node_add_pending(node, call, jj_node_answer_json);
 		jj_node_post_job(node, JJ_JOB_CANCEL, pending->operation, id,
 		    NULL, NULL, NULL, 0);
 	} else if (rest[0] == '\0') {
-		pending =
-		    jj_node_add_pending(node, call, jj_node_answer_plainly);
+		pending = jj_node_add_pending(node, call, jj_node_answer_json);
 		jj_node_post_job(node, JJ_JOB_STATUS, pending->operation, id,
 		    NULL, NULL, NULL, 0);
 	} else {
@@ -388,7 +388,7 @@
 static void
 refuse(jj_http_call_t *call, int status, const char *code, const char *detail)
 {
-	/* Under a key an earlier attempt may have run. */
+	/* With a key, an earlier attempt may have run. */
 	bool has_key = jj_http_call_header(call, "Idempotency-Key") != NULL;
 	jj_problem_t problem = {status, code, "The request is not valid.",
 	    detail, has_key ? "unknown" : "not_run", status == 503 ? 1000 : 0};
--- a/src/daemon/node_control.c
+++ b/src/daemon/node_control.c
@@ -1,6 +1,6 @@
 /**
  * @file node_control.c
- * @brief The control loop: events into the core, its actions out.
+ * @brief The control loop: passes events to the core and executes its actions.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -10,16 +10,16 @@
 #include "adapters/monotonic.h"
 #include "daemon/node.h"
 
-/** Health and load of a server are looked at this often by its steward. */
-#define LOOK_MS 500
-/** Until a look at a server that may be dying is made again. */
-#define LOOK_AGAIN_MS 20
-/** Of so many turns one looks at a leaving server: did it come back? */
-#define LEAVING_TURNS 10
+/** Interval at which the VM in charge checks a server's health and load. */
+#define HEALTH_CHECK_MS 500
+/** Interval of repeated checks of a server that may be crashing, ms. */
+#define RECHECK_MS 20
+/** A leaving server is checked for a restart once in so many intervals. */
+#define LEAVING_CHECK_INTERVALS 10
 /** Timeout of an attempt whose service is no longer configured, ms. */
 #define FALLBACK_TIMEOUT_MS 30000
 
-/** An event on its way to the control loop, with what it owns. */
+/** An event posted to the control loop; owns the data it points to. */
 typedef struct {
 	jj_task_t task;
 	jj_event_t event;
@@ -30,25 +30,25 @@
 	char key[JJ_IDEMPOTENCY_KEY_MAX + 1];
 	char trace[JJ_TRACE_PARENT_SIZE];
 	char operator_name[JJ_NAME_MAX + 1];
-	jj_whole_t whole;
+	jj_whole_t response;
 	jj_name_t server;
 } event_task_t;
 
 static void run_event(jj_task_t *, void *, jj_ms_t);
 static void run_show_config(jj_task_t *, void *, jj_ms_t);
-static void step(jj_node_t *, const jj_event_t *, jj_ms_t);
-static void carry_out(jj_node_t *, jj_action_t *, jj_ms_t);
+static void handle_event(jj_node_t *, const jj_event_t *, jj_ms_t);
+static void execute_action(jj_node_t *, jj_action_t *, jj_ms_t);
 static void send_message(jj_node_t *, jj_action_t *);
 static void start_backend(jj_node_t *, const jj_backend_start_t *, jj_ms_t);
-static void record_wait(const jj_exchange_t *);
-static void begin_call_run(jj_node_t *, jj_action_t *);
+static void record_queue_span(const jj_exchange_t *);
+static void add_call_exchange(jj_node_t *, jj_action_t *);
 static void answer_patch(jj_node_t *, jj_action_t *);
 static void adopt_config(jj_node_t *, uint64_t);
 static void log_event(const jj_action_t *);
-static void after_gone(jj_node_t *, uint64_t);
-static void after_step(jj_node_t *, jj_ms_t);
-static void look_at_servers(jj_node_t *, jj_ms_t);
-static void look_again(jj_node_t *, const jj_server_t *, jj_ms_t);
+static void after_caller_gone(jj_node_t *, uint64_t);
+static void publish_state(jj_node_t *, jj_ms_t);
+static void check_servers(jj_node_t *, jj_ms_t);
+static void check_unavailable_server(jj_node_t *, const jj_server_t *, jj_ms_t);
 static event_task_t *create_task(jj_event_kind_t);
 static void free_task(event_task_t *);
 
@@ -74,7 +74,7 @@
 }
 
 void
-jj_node_post_gone(jj_node_t *node, uint64_t request)
+jj_node_post_caller_gone(jj_node_t *node, uint64_t request)
 {
 	event_task_t *task = create_task(JJ_EVENT_GONE);
 
@@ -104,18 +104,18 @@
 
 void
 jj_node_post_backend(jj_node_t *node, const jj_backend_event_t *event,
-    jj_whole_t *whole, const jj_name_t *server, bool suspect)
+    jj_whole_t *response, const jj_name_t *server, bool suspect)
 {
 	event_task_t *task = create_task(JJ_EVENT_BACKEND);
 	char address[JJ_NAME_MAX + 1];
 
 	task->event.body.backend.event = *event;
 	task->server = *server;
-	if (whole != NULL) {
-		task->whole = *whole;
-		memset(&whole->body, 0, sizeof(whole->body));
-		task->event.body.backend.status = task->whole.status;
-		task->event.body.backend.body = task->whole.body;
+	if (response != NULL) {
+		task->response = *response;
+		memset(&response->body, 0, sizeof(response->body));
+		task->event.body.backend.status = task->response.status;
+		task->event.body.backend.body = task->response.body;
 	}
 	suspect = suspect &&
 	    jj_relay_address(
@@ -125,8 +125,9 @@
 		return;
 	}
 	/*
-	 * A request that only finds a server dead must not be blamed for its
-	 * death: it is off the server before the look says that it died.
+	 * A request that was not sent, as its server was already down, must
+	 * not count as a cause of the crash. Its event is posted before the
+	 * health check reports the crash.
 	 */
 	jj_loop_post(node->control, &task->task);
 	if (suspect)
@@ -134,10 +135,10 @@
 }
 
 void
-jj_node_release_held(void *ctx, void *held)
+jj_node_post_deferred_event(void *ctx, void *deferred)
 {
 	jj_node_t *node = ctx;
-	event_task_t *task = held;
+	event_task_t *task = deferred;
 
 	task->event.body.backend.event.look_cut =
 	    jj_health_watch_is_cut(node->health, &task->server);
@@ -171,8 +172,8 @@
 }
 
 void
-jj_node_post_ordered(jj_node_t *node, const jj_name_t *server, uint64_t order,
-    int status, jj_ms_t retry_after_ms)
+jj_node_post_order_answer(jj_node_t *node, const jj_name_t *server,
+    uint64_t order, int status, jj_ms_t retry_after_ms)
 {
 	event_task_t *task = create_task(JJ_EVENT_ORDERED);
 
@@ -231,9 +232,11 @@
 	const jj_node_t *node = ctx;
 	jj_ms_t next = jj_core_next(node->core);
 
-	if (jj_health_watch_has_cut(node->health) && node->again_look < next)
-		next = node->again_look;
-	return next < node->next_look ? next : node->next_look;
+	if (jj_health_watch_has_cut(node->health) &&
+	    node->next_recheck_ms < next)
+		next = node->next_recheck_ms;
+	return next < node->next_health_check_ms ? next
+						 : node->next_health_check_ms;
 }
 
 void
@@ -242,14 +245,14 @@
 	jj_node_t *node = ctx;
 	jj_event_t event = {.kind = JJ_EVENT_TICK};
 
-	step(node, &event, now);
-	if (now >= node->again_look) {
-		node->again_look = now + LOOK_AGAIN_MS;
+	handle_event(node, &event, now);
+	if (now >= node->next_recheck_ms) {
+		node->next_recheck_ms = now + RECHECK_MS;
 		jj_health_watch_look_again(node->health);
 	}
-	if (now >= node->next_look) {
-		node->next_look = now + LOOK_MS;
-		look_at_servers(node, now);
+	if (now >= node->next_health_check_ms) {
+		node->next_health_check_ms = now + HEALTH_CHECK_MS;
+		check_servers(node, now);
 	}
 }
 
@@ -267,14 +270,14 @@
 	if (task->event.kind == JJ_EVENT_MESSAGE &&
 	    task->message->kind == JJ_MESSAGE_CALL_ANSWER)
 		jj_node_end_hop(node, &task->message->body.call_answer);
-	step(node, &task->event, now);
+	handle_event(node, &task->event, now);
 	if (task->event.kind == JJ_EVENT_BACKEND &&
 	    (backend->kind == JJ_BACKEND_DONE ||
 		backend->kind == JJ_BACKEND_REJECTED))
-		jj_node_finish_whole(node, backend->request,
-		    backend->kind == JJ_BACKEND_REJECTED, &task->whole);
+		jj_node_finish_response(node, backend->request,
+		    backend->kind == JJ_BACKEND_REJECTED, &task->response);
 	else if (task->event.kind == JJ_EVENT_GONE)
-		after_gone(node, task->event.body.request_gone);
+		after_caller_gone(node, task->event.body.request_gone);
 	else if (task->event.kind == JJ_EVENT_RELEASE)
 		jj_node_answer_pending(node, task->event.body.release.operation,
 		    202, 0, &task->body);
@@ -301,7 +304,7 @@
 }
 
 static void
-step(jj_node_t *node, const jj_event_t *event, jj_ms_t now)
+handle_event(jj_node_t *node, const jj_event_t *event, jj_ms_t now)
 {
 	jj_actions_t actions = TAILQ_HEAD_INITIALIZER(actions);
 	jj_action_t *action;
@@ -309,14 +312,14 @@
 	jj_core_handle(node->core, event, now, &actions);
 	while ((action = TAILQ_FIRST(&actions)) != NULL) {
 		TAILQ_REMOVE(&actions, action, link);
-		carry_out(node, action, now);
+		execute_action(node, action, now);
 		jj_action_free(action);
 	}
-	after_step(node, now);
+	publish_state(node, now);
 }
 
 static void
-carry_out(jj_node_t *node, jj_action_t *action, jj_ms_t now)
+execute_action(jj_node_t *node, jj_action_t *action, jj_ms_t now)
 {
 	switch (action->kind) {
 	case JJ_ACTION_SEND:
@@ -334,14 +337,14 @@
 		    action->body.cancel.attempt);
 		break;
 	case JJ_ACTION_ANSWER:
-		jj_node_finish_given_up(node, &action->body.answer);
+		jj_node_finish_failed(node, &action->body.answer);
 		break;
 	case JJ_ACTION_CALL_ANSWER:
 		jj_node_finish_call(
 		    node, action->body.call.call, &action->body.call.answer);
 		break;
 	case JJ_ACTION_CALL_READY:
-		begin_call_run(node, action);
+		add_call_exchange(node, action);
 		break;
 	case JJ_ACTION_CONFIG_ANSWER:
 		answer_patch(node, action);
@@ -416,15 +419,15 @@
 	if (timeout < 1)
 		timeout = 1;
 	if (start->attempt == 1)
-		record_wait(&exchange);
+		record_queue_span(&exchange);
 	jj_relay_start(node->relay, start,
 	    server != NULL ? server->address : "127.0.0.1:1", timeout,
 	    idempotent);
 }
 
-/** The hop between a request's head and its first server: the queue. */
+/** Records the span between a request's head and its first attempt. */
 static void
-record_wait(const jj_exchange_t *exchange)
+record_queue_span(const jj_exchange_t *exchange)
 {
 	jj_trace_parent_t parent = jj_trace_as_parent(&exchange->span);
 	jj_span_t span;
@@ -434,9 +437,9 @@
 	jj_trace_end(&span, false, jj_unix_now_ns());
 }
 
-/** The ledger lets a call run: give the relay what is to be sent. */
+/** Adds the exchange of a call that the ledger allows to run. */
 static void
-begin_call_run(jj_node_t *node, jj_action_t *action)
+add_call_exchange(jj_node_t *node, jj_action_t *action)
 {
 	jj_exchange_t exchange = {0};
 	jj_trace_parent_t parent;
@@ -514,11 +517,11 @@
 }
 
 /**
- * The caller of a request went away. A non-idempotent call goes on at its
- * home: its outcome is kept for the caller's next try.
+ * Drops the exchange of a caller that disconnected. A non-idempotent call with
+ * a key still completes at its home VM, which keeps the outcome for a retry.
  */
 static void
-after_gone(jj_node_t *node, uint64_t request)
+after_caller_gone(jj_node_t *node, uint64_t request)
 {
 	const jj_service_t *service;
 	jj_exchange_t exchange;
@@ -532,8 +535,9 @@
 	jj_node_drop_exchange(node, request);
 }
 
+/** Sends changed batch shares to the batch loop and updates core_idle. */
 static void
-after_step(jj_node_t *node, jj_ms_t now)
+publish_state(jj_node_t *node, jj_ms_t now)
 {
 	jj_batch_share_t shares[JJ_NODE_SERVICES_MAX];
 	uint32_t count;
@@ -541,23 +545,28 @@
 	memset(shares, 0, sizeof(shares));
 	count =
 	    jj_core_batch_shares(node->core, shares, JJ_NODE_SERVICES_MAX, now);
-	if (count != node->share_told ||
-	    memcmp(shares, node->shares_told, count * sizeof(shares[0])) != 0) {
-		node->share_told = count;
-		memcpy(node->shares_told, shares, count * sizeof(shares[0]));
+	if (count != node->reported_share_count ||
+	    memcmp(shares, node->reported_shares, count * sizeof(shares[0])) !=
+		0) {
+		node->reported_share_count = count;
+		memcpy(
+		    node->reported_shares, shares, count * sizeof(shares[0]));
 		jj_node_post_shares(node, shares, count);
 	}
 	atomic_store(&node->core_idle, jj_core_is_idle(node->core));
 }
 
-/** Each server is looked after by one VM of its domain. */
+/**
+ * Starts health checks. Each server is checked by one VM of its failure domain;
+ * servers that this VM found down or leaving are checked by this VM as well.
+ */
 static void
-look_at_servers(jj_node_t *node, jj_ms_t now)
+check_servers(jj_node_t *node, jj_ms_t now)
 {
 	const jj_fleet_t *fleet = jj_core_fleet(node->core);
 	const jj_service_t *service;
 	const jj_server_t *servers;
-	jj_name_t steward;
+	jj_name_t checker;
 	uint64_t item;
 	size_t count;
 	size_t i;
@@ -566,17 +575,18 @@
 	servers = jj_fleet_list(fleet, &count);
 	for (i = 0; i < count; i++) {
 		if (servers[i].state == JJ_SERVER_DOWN)
-			look_again(node, &servers[i], now);
+			check_unavailable_server(node, &servers[i], now);
 		else if (servers[i].state == JJ_SERVER_LEAVING &&
-		    now / LOOK_MS % LEAVING_TURNS == (jj_ms_t)i % LEAVING_TURNS)
-			look_again(node, &servers[i], now);
+		    now / HEALTH_CHECK_MS % LEAVING_CHECK_INTERVALS ==
+			(jj_ms_t)i % LEAVING_CHECK_INTERVALS)
+			check_unavailable_server(node, &servers[i], now);
 		if (!jj_name_equal(&servers[i].domain, &node->settings->domain))
 			continue;
 		item = jj_hash_bytes(
 		    servers[i].name.text, strlen(servers[i].name.text), 0);
 		if (!jj_member_choose(jj_core_member(node->core),
-			&node->settings->domain, item, &steward) ||
-		    !jj_name_equal(&steward, &node->settings->name))
+			&node->settings->domain, item, &checker) ||
+		    !jj_name_equal(&checker, &node->settings->name))
 			continue;
 		service = jj_config_service(
 		    jj_core_config(node->core), servers[i].service.text);
@@ -587,12 +597,13 @@
 }
 
 /**
- * A server that this VM saw down is only taken for up by its own look: a
- * neighbour that still reaches it proves nothing here. Waits double while it
- * stays down (fleet.h).
+ * Checks a server that this VM found down or leaving. Only a health check by
+ * this VM marks it up again: a neighbour may reach it when this VM does not.
+ * The interval doubles while the server stays down (fleet.h).
  */
 static void
-look_again(jj_node_t *node, const jj_server_t *server, jj_ms_t now)
+check_unavailable_server(
+    jj_node_t *node, const jj_server_t *server, jj_ms_t now)
 {
 	if (now >= server->down_until_ms)
 		jj_health_watch_look(
@@ -618,7 +629,7 @@
 	}
 	jj_platform_result_clear(&task->result);
 	jj_bytes_free(&task->body);
-	jj_bytes_free(&task->whole.body);
+	jj_bytes_free(&task->response.body);
 	free(task->path);
 	free(task);
 }
--- a/src/daemon/node_finish.c
+++ b/src/daemon/node_finish.c
@@ -1,6 +1,6 @@
 /**
  * @file node_finish.c
- * @brief Ends exchanges: each is taken off once and answered once.
+ * @brief Ends exchanges: each is removed from the relay and answered once.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -11,13 +11,13 @@
 #include "daemon/answers.h"
 #include "daemon/node.h"
 
-static void end_caller(jj_exchange_t *, bool, const jj_problem_t *);
+static void end_with_problem(jj_exchange_t *, bool, const jj_problem_t *);
 static jj_item_outcome_t outcome_of(const jj_answer_t *);
-static void answer_whole(jj_exchange_t *, bool, const jj_whole_t *);
+static void send_response(jj_exchange_t *, bool, const jj_whole_t *);
 static void log_answer(const jj_exchange_t *, int, const char *, const char *);
 
 void
-jj_node_finish_given_up(jj_node_t *node, const jj_answer_t *answer)
+jj_node_finish_failed(jj_node_t *node, const jj_answer_t *answer)
 {
 	jj_problem_t problem = jj_problem_of_give_up(answer);
 	jj_exchange_t exchange;
@@ -29,7 +29,7 @@
 		jj_node_post_item_end(node, answer->request & ~JJ_REQUEST_ITEM,
 		    outcome_of(answer), 0, NULL);
 	else if (exchange.kind == JJ_EXCHANGE_CALLER)
-		end_caller(&exchange, relayed, &problem);
+		end_with_problem(&exchange, relayed, &problem);
 	if (exchange.kind != JJ_EXCHANGE_CALLER)
 		jj_trace_end(&exchange.span, true, jj_unix_now_ns());
 	jj_exchange_clear(&exchange);
@@ -40,25 +40,26 @@
     jj_node_t *node, uint64_t request, const jj_call_answer_t *answer)
 {
 	jj_problem_t problem = jj_problem_of_call(answer);
-	jj_whole_t whole = {answer->status, "application/json", answer->body};
+	jj_whole_t response = {
+	    answer->status, "application/json", answer->body};
 	jj_exchange_t exchange;
 	bool relayed;
 
 	if (!jj_relay_take(node->relay, request, &exchange, &relayed))
 		return;
-	/* An empty body would look like the whole answer, and is none. */
+	/* An empty body would be taken for the complete answer. */
 	if (answer->outcome == JJ_CALL_DONE ||
 	    (answer->outcome == JJ_CALL_REPLAYED && answer->body.size > 0))
-		answer_whole(
-		    &exchange, answer->outcome == JJ_CALL_REPLAYED, &whole);
+		send_response(
+		    &exchange, answer->outcome == JJ_CALL_REPLAYED, &response);
 	else
-		end_caller(&exchange, relayed, &problem);
+		end_with_problem(&exchange, relayed, &problem);
 	jj_exchange_clear(&exchange);
 }
 
 void
-jj_node_finish_whole(
-    jj_node_t *node, uint64_t request, bool rejected, jj_whole_t *whole)
+jj_node_finish_response(
+    jj_node_t *node, uint64_t request, bool rejected, jj_whole_t *response)
 {
 	jj_exchange_t exchange;
 	bool relayed;
@@ -67,15 +68,15 @@
 		return;
 	if (exchange.kind == JJ_EXCHANGE_ITEM) {
 		jj_node_post_item_end(node, request & ~JJ_REQUEST_ITEM,
-		    rejected ? JJ_ITEM_REFUSED : JJ_ITEM_DONE, whole->status,
-		    &whole->body);
+		    rejected ? JJ_ITEM_REFUSED : JJ_ITEM_DONE, response->status,
+		    &response->body);
 	} else if (exchange.kind == JJ_EXCHANGE_CALLER) {
 		if (relayed) {
 			log_answer(&exchange, 200, "streamed", "run");
 			jj_trace_end(&exchange.span, false, jj_unix_now_ns());
 			jj_http_call_end(exchange.call, false);
 		} else {
-			answer_whole(&exchange, false, whole);
+			send_response(&exchange, false, response);
 		}
 	}
 	if (exchange.kind != JJ_EXCHANGE_CALLER)
@@ -100,11 +101,12 @@
 }
 
 /**
- * A stream that has begun ends with an error event and a broken connection:
- * its caller can take it for nothing whole.
+ * Answers a caller with a problem. A stream that has begun ends with an error
+ * event and a broken connection, so that it can't be taken for complete.
  */
 static void
-end_caller(jj_exchange_t *exchange, bool relayed, const jj_problem_t *problem)
+end_with_problem(
+    jj_exchange_t *exchange, bool relayed, const jj_problem_t *problem)
 {
 	jj_bytes_t text;
 	char *event;
@@ -128,26 +130,28 @@
 }
 
 static void
-answer_whole(jj_exchange_t *exchange, bool replayed, const jj_whole_t *whole)
+send_response(
+    jj_exchange_t *exchange, bool replayed, const jj_whole_t *response)
 {
-	jj_http_answer_t answer = {whole->status,
-	    whole->content_type[0] != '\0' ? whole->content_type
-					   : "application/json",
+	jj_http_answer_t answer = {response->status,
+	    response->content_type[0] != '\0' ? response->content_type
+					      : "application/json",
 	    {{"X-Request-Id", exchange->operation_id},
 		{replayed ? "Jujube-Replayed" : NULL, "true"}, {NULL, NULL}},
 	    NULL, 0};
 
-	log_answer(
-	    exchange, whole->status, replayed ? "replayed" : "answered", "run");
-	jj_trace_end(&exchange->span, whole->status >= 400, jj_unix_now_ns());
+	log_answer(exchange, response->status,
+	    replayed ? "replayed" : "answered", "run");
+	jj_trace_end(
+	    &exchange->span, response->status >= 400, jj_unix_now_ns());
 	jj_http_call_answer(
-	    exchange->call, &answer, whole->body.data, whole->body.size);
+	    exchange->call, &answer, response->body.data, response->body.size);
 }
 
 static jj_item_outcome_t
 outcome_of(const jj_answer_t *answer)
 {
-	/* An item that was surely not sent may be sent, also a booking. */
+	/* An unsent item may be retried, even if it is non-idempotent. */
 	if (answer->run == JJ_RUN_NOT_RUN &&
 	    answer->reason != JJ_GIVE_UP_QUARANTINED)
 		return JJ_ITEM_NOT_RUN;
--- a/src/daemon/node_hops.c
+++ b/src/daemon/node_hops.c
@@ -7,10 +7,10 @@
 #include "adapters/monotonic.h"
 #include "daemon/node.h"
 
-/** Most hops kept open; calls that never end would else pile up. */
+/** Maximum number of open hops; bounds those of calls that never end. */
 #define HOPS_MAX 4096
 
-/** An open hop. */
+/** The open span of a call to another VM. */
 typedef struct {
 	uint64_t call;
 	jj_span_t span;
--- a/src/daemon/node_metrics.c
+++ b/src/daemon/node_metrics.c
@@ -1,6 +1,6 @@
 /**
  * @file node_metrics.c
- * @brief What a VM counts, brought together when somebody asks.
+ * @brief Metrics of the daemon; gauges and totals are updated on each scrape.
  */
 #include "daemon/node.h"
 
--- a/src/daemon/node_operators.c
+++ b/src/daemon/node_operators.c
@@ -1,6 +1,6 @@
 /**
  * @file node_operators.c
- * @brief The operators' interface: configuration, state, metrics, traces.
+ * @brief The operators' HTTP interface: configuration, state, metrics, traces.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -14,7 +14,7 @@
 #include "daemon/node.h"
 
 static void on_request(void *, jj_http_call_t *);
-static void on_gone(void *, jj_http_call_t *);
+static void on_operator_gone(void *, jj_http_call_t *);
 static void show_config(jj_node_t *, jj_http_call_t *);
 static void
 answer_config(jj_node_t *, jj_pending_t *, int, jj_ms_t, const jj_bytes_t *);
@@ -23,7 +23,7 @@
 static void show_metrics(jj_node_t *, jj_http_call_t *);
 static void show_trace(jj_http_call_t *, const char *);
 static void release_slot(jj_node_t *, jj_http_call_t *, const char *);
-static void set_cuts(jj_node_t *, jj_http_call_t *);
+static void set_network_cuts(jj_node_t *, jj_http_call_t *);
 static void drain(jj_node_t *, jj_http_call_t *);
 static void refuse(jj_http_call_t *, int, const char *, const char *);
 
@@ -34,14 +34,15 @@
 	jj_http_limits_t limits = {settings->listen_operators, 1, 64,
 	    settings->callers.header_bytes, JJ_OBJECT_VALUE_MAX,
 	    settings->callers.stream_bytes, settings->callers.idle_ms};
-	jj_http_port_t port = {node, on_request, NULL, NULL, on_gone, NULL};
+	jj_http_port_t port = {
+	    node, on_request, NULL, NULL, on_operator_gone, NULL};
 
 	node->operators = jj_http_server_create(&limits, &port);
 	return node->operators != NULL;
 }
 
 void
-jj_node_take_history(jj_node_t *node, const jj_platform_result_t *result)
+jj_node_answer_history(jj_node_t *node, const jj_platform_result_t *result)
 {
 	json_t *array = json_array();
 	jj_bytes_t body;
@@ -75,8 +76,7 @@
 	} else if (strcmp(path, "/v1/config/history") == 0) {
 		show_history(node, call);
 	} else if (strcmp(path, "/v1/status") == 0) {
-		pending =
-		    jj_node_add_pending(node, call, jj_node_answer_plainly);
+		pending = jj_node_add_pending(node, call, jj_node_answer_json);
 		jj_node_post_simple(
 		    node, JJ_EVENT_STATUS, pending->operation, 0);
 	} else if (strcmp(path, "/metrics") == 0) {
@@ -88,7 +88,7 @@
 		release_slot(node, call, path + 11);
 	} else if (strcmp(path, "/v1/faults") == 0 &&
 	    strcmp(method, "POST") == 0) {
-		set_cuts(node, call);
+		set_network_cuts(node, call);
 	} else if (strcmp(path, "/v1/drain") == 0 &&
 	    strcmp(method, "POST") == 0) {
 		drain(node, call);
@@ -99,9 +99,9 @@
 	}
 }
 
-/** Operators' answers are small; a vanished one needs nothing undone. */
+/** Nothing to undo: pending answers to operators are small. */
 static void
-on_gone(void *ctx, jj_http_call_t *call)
+on_operator_gone(void *ctx, jj_http_call_t *call)
 {
 	(void)ctx;
 	(void)call;
@@ -172,7 +172,7 @@
 	}
 	operation_key =
 	    key != NULL ? jj_hash_bytes(key, strlen(key), 1) : jj_random_u64();
-	pending = jj_node_add_pending(node, call, jj_node_answer_plainly);
+	pending = jj_node_add_pending(node, call, jj_node_answer_json);
 	jj_node_post_patch(node, pending->operation, operation_key,
 	    who != NULL ? who : "unknown", version, body);
 }
@@ -182,7 +182,7 @@
 {
 	const char *after = jj_http_call_query(call, "after");
 	jj_pending_t *pending =
-	    jj_node_add_pending(node, call, jj_node_answer_plainly);
+	    jj_node_add_pending(node, call, jj_node_answer_json);
 	jj_platform_call_t list = {0};
 
 	list.owner = JJ_OWNER_NONE;
@@ -220,7 +220,7 @@
 	jj_bytes_free(&spans);
 }
 
-/** ledger/SLOT/release: the operator says the slot's VMs are dead. */
+/** Serves ledger/SLOT/release: confirms that the slot's VMs have failed. */
 static void
 release_slot(jj_node_t *node, jj_http_call_t *call, const char *rest)
 {
@@ -232,14 +232,14 @@
 		refuse(call, 404, "unknown_slot", "There is no such slot.");
 		return;
 	}
-	pending = jj_node_add_pending(node, call, jj_node_answer_plainly);
+	pending = jj_node_add_pending(node, call, jj_node_answer_json);
 	jj_node_post_simple(
 	    node, JJ_EVENT_RELEASE, pending->operation, (uint32_t)slot);
 }
 
-/** Cuts this VM off from neighbours, for failure tests only. */
+/** Blocks traffic with the named neighbours, for failure tests only. */
 static void
-set_cuts(jj_node_t *node, jj_http_call_t *call)
+set_network_cuts(jj_node_t *node, jj_http_call_t *call)
 {
 	const jj_bytes_t *body = jj_http_call_body(call);
 	jj_bytes_t answer = jj_bytes_from_text("{}");
--- a/src/daemon/node_orders.c
+++ b/src/daemon/node_orders.c
@@ -1,15 +1,16 @@
 /**
  * @file node_orders.c
- * @brief Carries orders to model engines.
+ * @brief Sends orders to model engines as POST /orders.
  */
 #include <stdio.h>
 #include <stdlib.h>
 
 #include "daemon/node.h"
 
-/** An order that got no answer in this time may be repeated, ms. */
+/** Timeout of an order, ms; after it the order may be repeated. */
 #define ORDER_TIMEOUT_MS 2000
 
+/** An order whose answer is awaited. */
 typedef struct {
 	jj_node_t *node;
 	jj_name_t server;
@@ -61,7 +62,7 @@
 {
 	order_t *order = ctx;
 
-	jj_node_post_ordered(order->node, &order->server, order->order,
+	jj_node_post_order_answer(order->node, &order->server, order->order,
 	    end == JJ_HTTP_COMPLETE ? head->status : 0, head->retry_after_ms);
 	free(order);
 }
--- a/src/daemon/node_pending.c
+++ b/src/daemon/node_pending.c
@@ -1,6 +1,6 @@
 /**
  * @file node_pending.c
- * @brief Operations whose HTTP call waits for an answer.
+ * @brief HTTP calls that wait for an answer from a loop or the platform.
  */
 #include <stdlib.h>
 
@@ -41,7 +41,7 @@
 }
 
 void
-jj_node_answer_plainly(jj_node_t *node, jj_pending_t *pending, int status,
+jj_node_answer_json(jj_node_t *node, jj_pending_t *pending, int status,
     jj_ms_t retry_after_ms, const jj_bytes_t *body)
 {
 	(void)node;
--- a/src/daemon/node_results.c
+++ b/src/daemon/node_results.c
@@ -2,8 +2,8 @@
  * @file node_results.c
  * @brief Streams a job's results, chunk by chunk, while and after it runs.
  *
- * One chunk is asked for at a time, and the next only when the reader has
- * room, so a dump of a large job holds about one chunk in memory.
+ * One chunk is requested at a time, and the next one only when the call's send
+ * buffer has free space. A large job thus needs memory for about one chunk.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -11,28 +11,28 @@
 #include "daemon/answers.h"
 #include "daemon/node.h"
 
-/** Tries of a chunk while the platform does not answer. */
-#define CHUNK_TRIES 5
+/** Retries of a chunk while the platform does not answer. */
+#define CHUNK_RETRIES_MAX 5
 
-/** One reader; freed with its call's end. */
+/** A caller that reads results; freed when its call ends. */
 typedef struct {
 	jj_http_call_t *call;
 	char id[JJ_NAME_MAX + 1];
 	uint32_t chunk;
-	uint32_t tries;
+	uint32_t retries;
 	bool begun;
-	bool waiting; /**< for room; guarded by the node's results_lock */
+	bool waiting; /**< for buffer space; guarded by results_lock */
 } reader_t;
 
-static void ask(jj_node_t *, reader_t *);
+static void request_chunk(jj_node_t *, reader_t *);
 static void
-take_answer(jj_node_t *, jj_pending_t *, int, jj_ms_t, const jj_bytes_t *);
-static void take_chunk(jj_node_t *, reader_t *, const jj_bytes_t *);
+handle_answer(jj_node_t *, jj_pending_t *, int, jj_ms_t, const jj_bytes_t *);
+static void write_chunk(jj_node_t *, reader_t *, const jj_bytes_t *);
 static void end_reader(jj_node_t *, reader_t *, bool);
 static void free_reader(jj_node_t *, reader_t *);
 
 bool
-jj_node_is_results(const jj_http_call_t *call)
+jj_node_is_results_call(const jj_http_call_t *call)
 {
 	const char *path = jj_http_call_path(call);
 	size_t length = strlen(path);
@@ -49,30 +49,30 @@
 	reader->call = call;
 	(void)strncpy(reader->id, id, sizeof(reader->id) - 1);
 	jj_http_call_set_context(call, reader);
-	ask(node, reader);
+	request_chunk(node, reader);
 }
 
 void
 jj_node_resume_results(jj_node_t *node, jj_http_call_t *call)
 {
 	reader_t *reader;
-	bool go_on;
+	bool resume;
 
 	(void)apr_thread_mutex_lock(node->results_lock);
 	reader = jj_http_call_context(call);
-	go_on = reader != NULL && reader->waiting;
-	if (go_on)
+	resume = reader != NULL && reader->waiting;
+	if (resume)
 		reader->waiting = false;
 	(void)apr_thread_mutex_unlock(node->results_lock);
-	if (go_on)
-		ask(node, reader);
+	if (resume)
+		request_chunk(node, reader);
 }
 
 static void
-ask(jj_node_t *node, reader_t *reader)
+request_chunk(jj_node_t *node, reader_t *reader)
 {
 	jj_pending_t *pending =
-	    jj_node_add_pending(node, reader->call, take_answer);
+	    jj_node_add_pending(node, reader->call, handle_answer);
 
 	pending->detail = reader;
 	jj_node_post_job(node, JJ_JOB_RESULTS, pending->operation, reader->id,
@@ -80,23 +80,24 @@
 }
 
 static void
-take_answer(jj_node_t *node, jj_pending_t *pending, int status,
+handle_answer(jj_node_t *node, jj_pending_t *pending, int status,
     jj_ms_t retry_after_ms, const jj_bytes_t *body)
 {
 	reader_t *reader = pending->detail;
 	jj_http_call_t *call;
 
 	if (status == 200 || status == 204) {
-		take_chunk(node, reader, body);
+		write_chunk(node, reader, body);
 		return;
 	}
 	if (status == 410 && reader->begun) {
 		end_reader(node, reader, false);
 		return;
 	}
-	if (status == 503 && reader->begun && reader->tries < CHUNK_TRIES) {
-		reader->tries++;
-		ask(node, reader);
+	if (status == 503 && reader->begun &&
+	    reader->retries < CHUNK_RETRIES_MAX) {
+		reader->retries++;
+		request_chunk(node, reader);
 		return;
 	}
 	if (reader->begun) {
@@ -109,18 +110,18 @@
 }
 
 static void
-take_chunk(jj_node_t *node, reader_t *reader, const jj_bytes_t *body)
+write_chunk(jj_node_t *node, reader_t *reader, const jj_bytes_t *body)
 {
 	jj_http_answer_t answer = {
 	    200, "application/jsonl", {{NULL, NULL}}, NULL, 0};
-	bool room;
+	bool writable;
 
 	if (!reader->begun) {
 		reader->begun = true;
 		jj_http_call_begin(reader->call, &answer);
 	}
 	reader->chunk++;
-	reader->tries = 0;
+	reader->retries = 0;
 	if (body->size > 0)
 		(void)jj_http_call_write(
 		    reader->call, body->data, body->size, true);
@@ -128,15 +129,15 @@
 		end_reader(node, reader, true);
 		return;
 	}
-	/* Asked before the wait is declared: on_room may come in between. */
+	/* Under the lock, as on_room may run on another thread meanwhile. */
 	(void)apr_thread_mutex_lock(node->results_lock);
 	reader->waiting = true;
-	room = jj_http_call_has_room(reader->call);
-	if (room)
+	writable = jj_http_call_has_room(reader->call);
+	if (writable)
 		reader->waiting = false;
 	(void)apr_thread_mutex_unlock(node->results_lock);
-	if (room)
-		ask(node, reader);
+	if (writable)
+		request_chunk(node, reader);
 }
 
 static void
@@ -148,7 +149,7 @@
 	jj_http_call_end(call, broken);
 }
 
-/** The caller may go away, or read on, on another thread meanwhile. */
+/** Locks, as on_gone or on_room may run on another thread meanwhile. */
 static void
 free_reader(jj_node_t *node, reader_t *reader)
 {
--- a/src/daemon/node_uploads.c
+++ b/src/daemon/node_uploads.c
@@ -1,12 +1,12 @@
 /**
  * @file node_uploads.c
- * @brief Uploads of batch files, in shards that each have a lock.
+ * @brief Uploads of batch files, guarded by a fixed number of locks.
  *
- * An upload runs on its connection's thread and the bulk client's thread,
- * never on the loops: however many megabytes come in, routing does not wait.
+ * An upload runs on its connection's thread and on the thread of the bulk
+ * platform client, never on the loops, so large uploads don't delay routing.
  *
- * Lock order: the node's upload_lock, an upload's lock, its call's own. No
- * thread holds two uploads' locks.
+ * Lock order: the node's upload_lock, the upload's lock, its call's lock. No
+ * thread holds the locks of two uploads.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -16,26 +16,26 @@
 #include "daemon/answers.h"
 #include "daemon/node.h"
 
-/** Told to a caller whose upload the platform did not take, ms. */
+/** Retry-After sent when the platform could not store an upload, ms. */
 #define UPLOAD_RETRY_AFTER_MS 5000
 
 typedef struct {
 	uint64_t token;
-	apr_thread_mutex_t *lock; /**< its shard's; guards all below */
+	apr_thread_mutex_t *lock; /**< one of upload_shards; guards all below */
 	int references;
 	jj_intake_t *intake;
 	jj_http_call_t *call;
-	bool complete; /**< the caller has sent all */
+	bool complete; /**< the caller has sent the whole body */
 	bool answered;
 } upload_t;
 
 static upload_t *create_upload(jj_node_t *, jj_http_call_t *);
-static upload_t *hold_upload(jj_node_t *, uint64_t);
-static upload_t *hold_upload_of(jj_node_t *, const jj_http_call_t *);
+static upload_t *acquire_upload(jj_node_t *, uint64_t);
+static upload_t *acquire_upload_of(jj_node_t *, const jj_http_call_t *);
 static void release_upload(upload_t *);
-static void carry_out(jj_node_t *, jj_actions_t *);
-static void answer_when_ended(jj_node_t *, upload_t *);
-static void forget_upload(jj_node_t *, upload_t *);
+static void execute_actions(jj_node_t *, jj_actions_t *);
+static void answer_if_ended(jj_node_t *, upload_t *);
+static void remove_upload(jj_node_t *, upload_t *);
 
 bool
 jj_node_is_upload(const jj_http_call_t *call)
@@ -45,12 +45,12 @@
 }
 
 size_t
-jj_node_take_upload(
+jj_node_feed_upload(
     void *ctx, jj_http_call_t *call, const char *data, size_t size)
 {
 	jj_node_t *node = ctx;
 	jj_actions_t actions = TAILQ_HEAD_INITIALIZER(actions);
-	upload_t *upload = hold_upload_of(node, call);
+	upload_t *upload = acquire_upload_of(node, call);
 	size_t taken;
 
 	if (upload == NULL)
@@ -60,9 +60,9 @@
 		taken = jj_intake_feed(
 		    upload->intake, data, size, jj_monotonic_now(), &actions);
 	else
-		taken = size; /* thrown away: the answer is decided */
+		taken = size; /* discarded: the answer is decided */
 	(void)apr_thread_mutex_unlock(upload->lock);
-	carry_out(node, &actions);
+	execute_actions(node, &actions);
 	release_upload(upload);
 	return taken;
 }
@@ -71,7 +71,7 @@
 jj_node_finish_upload(jj_node_t *node, jj_http_call_t *call)
 {
 	jj_actions_t actions = TAILQ_HEAD_INITIALIZER(actions);
-	upload_t *upload = hold_upload_of(node, call);
+	upload_t *upload = acquire_upload_of(node, call);
 
 	if (upload == NULL)
 		upload = create_upload(node, call);
@@ -80,15 +80,15 @@
 	if (jj_intake_state(upload->intake) == JJ_INTAKE_OPEN)
 		jj_intake_finish(upload->intake, jj_monotonic_now(), &actions);
 	(void)apr_thread_mutex_unlock(upload->lock);
-	carry_out(node, &actions);
-	answer_when_ended(node, upload);
+	execute_actions(node, &actions);
+	answer_if_ended(node, upload);
 	release_upload(upload);
 }
 
 void
-jj_node_drop_upload(jj_node_t *node, jj_http_call_t *call)
+jj_node_abort_upload(jj_node_t *node, jj_http_call_t *call)
 {
-	upload_t *upload = hold_upload_of(node, call);
+	upload_t *upload = acquire_upload_of(node, call);
 	bool answered;
 
 	if (upload == NULL)
@@ -99,7 +99,7 @@
 	(void)apr_thread_mutex_unlock(upload->lock);
 	if (!answered) {
 		jj_http_call_end(call, true);
-		forget_upload(node, upload);
+		remove_upload(node, upload);
 	}
 	release_upload(upload);
 }
@@ -108,7 +108,7 @@
 jj_node_take_upload_result(jj_node_t *node, jj_platform_result_t *result)
 {
 	jj_actions_t actions = TAILQ_HEAD_INITIALIZER(actions);
-	upload_t *upload = hold_upload(node, result->token);
+	upload_t *upload = acquire_upload(node, result->token);
 
 	if (upload == NULL) {
 		jj_platform_result_clear(result);
@@ -122,8 +122,8 @@
 		jj_intake_state(upload->intake) != JJ_INTAKE_OPEN))
 		jj_http_call_continue(upload->call);
 	(void)apr_thread_mutex_unlock(upload->lock);
-	carry_out(node, &actions);
-	answer_when_ended(node, upload);
+	execute_actions(node, &actions);
+	answer_if_ended(node, upload);
 	jj_platform_result_clear(result);
 	release_upload(upload);
 }
@@ -154,14 +154,14 @@
 		if (now >= jj_intake_next(upload->intake))
 			jj_intake_tick(upload->intake, now, &actions);
 		(void)apr_thread_mutex_unlock(upload->lock);
-		carry_out(node, &actions);
-		answer_when_ended(node, upload);
+		execute_actions(node, &actions);
+		answer_if_ended(node, upload);
 		release_upload(upload);
 	}
 	g_ptr_array_free(all, TRUE);
 }
 
-/** A new one, held. */
+/** Creates an upload; the caller of this function holds a reference. */
 static upload_t *
 create_upload(jj_node_t *node, jj_http_call_t *call)
 {
@@ -186,8 +186,9 @@
 	return upload;
 }
 
+/** Finds an upload and takes a reference to it; NULL if unknown. */
 static upload_t *
-hold_upload(jj_node_t *node, uint64_t token)
+acquire_upload(jj_node_t *node, uint64_t token)
 {
 	upload_t *upload;
 
@@ -202,11 +203,11 @@
 	return upload;
 }
 
-/** NULL when it has none yet, or when it was answered. */
+/** Takes a reference; NULL if the call has no upload or was answered. */
 static upload_t *
-hold_upload_of(jj_node_t *node, const jj_http_call_t *call)
+acquire_upload_of(jj_node_t *node, const jj_http_call_t *call)
 {
-	return hold_upload(
+	return acquire_upload(
 	    node, (uint64_t)(uintptr_t)jj_http_call_context(call));
 }
 
@@ -225,7 +226,7 @@
 }
 
 static void
-carry_out(jj_node_t *node, jj_actions_t *actions)
+execute_actions(jj_node_t *node, jj_actions_t *actions)
 {
 	jj_action_t *action;
 
@@ -238,9 +239,9 @@
 	}
 }
 
-/** Answers an upload whose file is durable, invalid or refused. */
+/** Answers an upload once its file is durable, invalid or rejected. */
 static void
-answer_when_ended(jj_node_t *node, upload_t *upload)
+answer_if_ended(jj_node_t *node, upload_t *upload)
 {
 	jj_problem_t problem = {400, "invalid_file",
 	    "The file is not valid JSON lines of a batch.", NULL, "not_run", 0};
@@ -271,11 +272,12 @@
 		}
 		jj_answer_problem(upload->call, &problem);
 	}
-	forget_upload(node, upload);
+	remove_upload(node, upload);
 }
 
+/** Removes the upload from the table and releases the table's reference. */
 static void
-forget_upload(jj_node_t *node, upload_t *upload)
+remove_upload(jj_node_t *node, upload_t *upload)
 {
 	(void)apr_thread_mutex_lock(node->upload_lock);
 	(void)g_hash_table_remove(node->uploads, &upload->token);
