--- a/src/daemon/gateway_events.c
+++ b/src/daemon/gateway_events.c
@@ -1,6 +1,6 @@
 /**
  * @file gateway_events.c
- * @brief Events into the gateway's core, its actions out.
+ * @brief Passes events to the gateway's core and executes its actions.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -13,16 +13,16 @@
 
 typedef enum {
 	EVENT_REQUEST,
-	EVENT_GONE,
+	EVENT_CALLER_GONE,
 	EVENT_BACKEND,
 	EVENT_MESSAGE,
 	EVENT_PLATFORM,
 	EVENT_OPERATION,
-	EVENT_FORGET,
+	EVENT_ABANDON,
 	EVENT_LEAVE,
 } event_kind_t;
 
-/** An event on its way to the loop, with what it owns. */
+/** An event posted to the loop; owns the data it points to. */
 typedef struct {
 	jj_task_t task;
 	event_kind_t kind;
@@ -41,17 +41,18 @@
 } event_t;
 
 static event_t *create_event(event_kind_t);
-static void run(jj_task_t *, void *, jj_ms_t);
-static void handle(jj_gateway_node_t *, event_t *, jj_ms_t, jj_actions_t *);
+static void run_event(jj_task_t *, void *, jj_ms_t);
+static void
+handle_event(jj_gateway_node_t *, event_t *, jj_ms_t, jj_actions_t *);
 static void
 handle_operation(jj_gateway_node_t *, event_t *, jj_ms_t, jj_actions_t *);
 static void free_event(event_t *);
-static void carry_out_all(jj_gateway_node_t *, jj_actions_t *, jj_ms_t);
-static void carry_out(jj_gateway_node_t *, jj_action_t *, jj_ms_t);
+static void execute_actions(jj_gateway_node_t *, jj_actions_t *, jj_ms_t);
+static void execute_action(jj_gateway_node_t *, jj_action_t *, jj_ms_t);
 static void send_message(jj_gateway_node_t *, const jj_action_t *);
 static void
 start_backend(jj_gateway_node_t *, const jj_backend_start_t *, jj_ms_t);
-static void drop_item(jj_gateway_node_t *, uint64_t);
+static void drop_exchange(jj_gateway_node_t *, uint64_t);
 static void log_event(const jj_action_t *);
 
 void
@@ -69,9 +70,9 @@
 }
 
 void
-jj_gateway_post_gone(jj_gateway_node_t *node, uint64_t request)
+jj_gateway_post_caller_gone(jj_gateway_node_t *node, uint64_t request)
 {
-	event_t *event = create_event(EVENT_GONE);
+	event_t *event = create_event(EVENT_CALLER_GONE);
 
 	event->number = request;
 	jj_loop_post(node->loop, &event->task);
@@ -131,9 +132,9 @@
 }
 
 void
-jj_gateway_post_forget(jj_gateway_node_t *node, uint64_t operation)
+jj_gateway_post_abandon(jj_gateway_node_t *node, uint64_t operation)
 {
-	event_t *event = create_event(EVENT_FORGET);
+	event_t *event = create_event(EVENT_ABANDON);
 
 	event->number = operation;
 	jj_loop_post(node->loop, &event->task);
@@ -161,7 +162,7 @@
 
 	TAILQ_INIT(&actions);
 	jj_gateway_tick(node->core, now, &actions);
-	carry_out_all(node, &actions, now);
+	execute_actions(node, &actions, now);
 }
 
 static event_t *
@@ -170,12 +171,12 @@
 	event_t *event = jj_alloc(sizeof(*event));
 
 	event->kind = kind;
-	event->task.run = run;
+	event->task.run = run_event;
 	return event;
 }
 
 static void
-run(jj_task_t *task, void *ctx, jj_ms_t now)
+run_event(jj_task_t *task, void *ctx, jj_ms_t now)
 {
 	event_t *event = (event_t *)task;
 	jj_gateway_node_t *node = ctx;
@@ -183,14 +184,15 @@
 
 	TAILQ_INIT(&actions);
 	if (node != NULL) {
-		handle(node, event, now, &actions);
-		carry_out_all(node, &actions, now);
+		handle_event(node, event, now, &actions);
+		execute_actions(node, &actions, now);
 	}
 	free_event(event);
 }
 
 static void
-handle(jj_gateway_node_t *node, event_t *event, jj_ms_t now, jj_actions_t *out)
+handle_event(
+    jj_gateway_node_t *node, event_t *event, jj_ms_t now, jj_actions_t *out)
 {
 	jj_gateway_t *core = node->core;
 
@@ -198,9 +200,9 @@
 	case EVENT_REQUEST:
 		jj_gateway_begin(core, &event->request, now, out);
 		break;
-	case EVENT_GONE:
+	case EVENT_CALLER_GONE:
 		jj_gateway_take_gone(core, event->number, now, out);
-		drop_item(node, event->number);
+		drop_exchange(node, event->number);
 		break;
 	case EVENT_BACKEND:
 		jj_gateway_take_backend(core, &event->backend, event->status,
@@ -215,7 +217,7 @@
 	case EVENT_OPERATION:
 		handle_operation(node, event, now, out);
 		break;
-	case EVENT_FORGET:
+	case EVENT_ABANDON:
 		jj_inline_forget(
 		    jj_gateway_jobs(core, now, out), event->number);
 		break;
@@ -238,7 +240,7 @@
 		return;
 	}
 	jobs = jj_gateway_jobs(node->core, now, out);
-	if (event->operation == JJ_GATEWAY_READ)
+	if (event->operation == JJ_GATEWAY_READ_RESULTS)
 		jj_inline_read(jobs, event->number, call->job, call->after,
 		    call->wait_ms, now, out);
 	else if (event->operation == JJ_GATEWAY_READ_ITEM)
@@ -266,14 +268,14 @@
 }
 
 static void
-carry_out_all(jj_gateway_node_t *node, jj_actions_t *actions, jj_ms_t now)
+execute_actions(jj_gateway_node_t *node, jj_actions_t *actions, jj_ms_t now)
 {
 	jj_inline_health_t health;
 	jj_action_t *action;
 
 	while ((action = TAILQ_FIRST(actions)) != NULL) {
 		TAILQ_REMOVE(actions, action, link);
-		carry_out(node, action, now);
+		execute_action(node, action, now);
 		jj_action_free(action);
 	}
 	health = jj_gateway_job_health(node->core);
@@ -284,7 +286,7 @@
 }
 
 static void
-carry_out(jj_gateway_node_t *node, jj_action_t *action, jj_ms_t now)
+execute_action(jj_gateway_node_t *node, jj_action_t *action, jj_ms_t now)
 {
 	switch (action->kind) {
 	case JJ_ACTION_SEND:
@@ -301,7 +303,7 @@
 		    action->body.cancel.attempt);
 		break;
 	case JJ_ACTION_ITEM_CANCEL:
-		drop_item(node, action->body.cancel.request);
+		drop_exchange(node, action->body.cancel.request);
 		break;
 	case JJ_ACTION_ANSWER:
 		jj_gateway_answer_request(node, &action->body.answer);
@@ -330,7 +332,7 @@
 		    address, action->body.send.message);
 }
 
-/** An attempt that an event after it has ended is not wanted any more. */
+/** Starts an attempt, unless a later event has already ended it. */
 static void
 start_backend(
     jj_gateway_node_t *node, const jj_backend_start_t *start, jj_ms_t now)
@@ -348,9 +350,9 @@
 	    node->relay, start->request, start->attempt, &where);
 }
 
-/** Nobody waits for this exchange any more. */
+/** Removes an exchange that no caller or job needs any more. */
 static void
-drop_item(jj_gateway_node_t *node, uint64_t request)
+drop_exchange(jj_gateway_node_t *node, uint64_t request)
 {
 	jj_http_call_t *call = NULL;
 	bool relayed;
--- a/src/daemon/gateway_front.c
+++ b/src/daemon/gateway_front.c
@@ -1,6 +1,6 @@
 /**
  * @file gateway_front.c
- * @brief Callers of a VM that serves routes: requests in, our answers out.
+ * @brief The HTTP interface of a VM that serves routes of a deployment.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -13,31 +13,32 @@
 #include "core/event_stream.h"
 #include "daemon/gateway_node.h"
 
-/** Marks the context of a call that waits for an operation. */
+/** Bit that is set in a call's context when it waits for an operation. */
 #define CONTEXT_OPERATION (UINT64_C(1) << 63)
 
-/** Told to callers of a VM that ends: the next one is not busy, ms. */
-#define REFUSED_RETRY_MS 10
+/** Retry-After while this VM stops, ms; short, as other VMs are not busy. */
+#define STOPPING_RETRY_MS 10
 
-/** Headers of a request while they are gathered. */
+/** State while the headers of a request are copied to its exchange. */
 typedef struct {
 	jj_gateway_node_t *node;
 	jj_stream_exchange_t *exchange;
 	const char *connection; /**< value of Connection, or NULL */
-} gather_t;
+} header_copy_t;
 
 static void on_request(void *, jj_http_call_t *);
-static void on_gone(void *, jj_http_call_t *);
-static void on_room(void *, jj_http_call_t *);
+static void on_caller_gone(void *, jj_http_call_t *);
+static void on_writable(void *, jj_http_call_t *);
 static void on_ready(void *, jj_http_call_t *);
 static void on_operator(void *, jj_http_call_t *);
 static void forward(jj_gateway_node_t *, jj_http_call_t *);
 static void submit(jj_gateway_node_t *, jj_http_call_t *);
-static void operate(jj_gateway_node_t *, jj_http_call_t *,
+static void start_operation(jj_gateway_node_t *, jj_http_call_t *,
     jj_gateway_operation_t, const jj_front_call_t *, jj_inline_job_t *);
-static bool takes_job(jj_gateway_node_t *, jj_http_call_t *, const char *);
-static void take_header(void *, const char *, const char *);
-static bool is_named(const char *, const char *);
+static bool
+is_job_submission(jj_gateway_node_t *, jj_http_call_t *, const char *);
+static void copy_header(void *, const char *, const char *);
+static bool is_listed(const char *, const char *);
 static uint64_t fingerprint_of(const jj_http_call_t *);
 static void answer(jj_gateway_node_t *, jj_http_call_t *, int, jj_ms_t,
     const char *, const jj_bytes_t *);
@@ -53,7 +54,7 @@
 	    settings->callers.body_bytes, settings->callers.stream_bytes,
 	    settings->callers.idle_ms};
 	jj_http_port_t callers = {
-	    node, on_request, NULL, NULL, on_gone, on_room};
+	    node, on_request, NULL, NULL, on_caller_gone, on_writable};
 	jj_http_port_t ready = {node, on_ready, NULL, NULL, NULL, NULL};
 	jj_http_port_t operators = {node, on_operator, NULL, NULL, NULL, NULL};
 
@@ -84,7 +85,7 @@
 		node->relay, given->request, &call, &relayed) ||
 	    call == NULL)
 		return;
-	/* What has begun can only be cut short, so that it is not complete. */
+	/* A response that has begun can only be cut off, never completed. */
 	if (relayed)
 		jj_http_call_end(call, true);
 	else
@@ -152,24 +153,25 @@
 	jj_front_call_t read;
 
 	/*
-	 * Guards against a request that the end of this process cuts: callers
-	 * go on using open connections until it is gone. It was not sent
-	 * anywhere, and another VM takes it at once.
+	 * Callers keep using open connections until this process exits, which
+	 * would cut off a request that is accepted now. The request was not
+	 * sent to a server, and another VM can take it at once.
 	 */
-	if (atomic_load(&node->refusing)) {
-		answer(node, call, 503, REFUSED_RETRY_MS, "text/plain", NULL);
+	if (atomic_load(&node->rejecting)) {
+		answer(node, call, 503, STOPPING_RETRY_MS, "text/plain", NULL);
 		return;
 	}
 	node->deployment->read_call(call, &read);
 	switch (read.kind) {
 	case JJ_FRONT_READ_RESULTS:
-		operate(node, call, JJ_GATEWAY_READ, &read, NULL);
+		start_operation(
+		    node, call, JJ_GATEWAY_READ_RESULTS, &read, NULL);
 		break;
 	case JJ_FRONT_READ_ITEM:
-		operate(node, call, JJ_GATEWAY_READ_ITEM, &read, NULL);
+		start_operation(node, call, JJ_GATEWAY_READ_ITEM, &read, NULL);
 		break;
 	case JJ_FRONT_END_JOB:
-		operate(node, call, JJ_GATEWAY_END, &read, NULL);
+		start_operation(node, call, JJ_GATEWAY_END_JOB, &read, NULL);
 		break;
 	case JJ_FRONT_MALFORMED:
 		answer(node, call, 400, 0, "text/plain", NULL);
@@ -186,7 +188,7 @@
 }
 
 static void
-on_gone(void *ctx, jj_http_call_t *call)
+on_caller_gone(void *ctx, jj_http_call_t *call)
 {
 	jj_gateway_node_t *node = ctx;
 	uint64_t number = (uint64_t)(uintptr_t)jj_http_call_context(call);
@@ -194,13 +196,13 @@
 	if (number == 0)
 		return;
 	if ((number & CONTEXT_OPERATION) == 0)
-		jj_gateway_post_gone(node, number);
+		jj_gateway_post_caller_gone(node, number);
 	else
-		jj_gateway_post_forget(node, number & ~CONTEXT_OPERATION);
+		jj_gateway_post_abandon(node, number & ~CONTEXT_OPERATION);
 }
 
 static void
-on_room(void *ctx, jj_http_call_t *call)
+on_writable(void *ctx, jj_http_call_t *call)
 {
 	jj_gateway_node_t *node = ctx;
 	uint64_t number = (uint64_t)(uintptr_t)jj_http_call_context(call);
@@ -242,14 +244,14 @@
 	const jj_bytes_t *body = jj_http_call_body(call);
 	jj_stream_exchange_t exchange = {0};
 	jj_gateway_request_t request = {0};
-	gather_t gather = {
+	header_copy_t copy = {
 	    node, &exchange, jj_http_call_header(call, "Connection")};
 
 	if (host == NULL) {
 		answer(node, call, 400, 0, "text/plain", NULL);
 		return;
 	}
-	if (takes_job(node, call, host)) {
+	if (is_job_submission(node, call, host)) {
 		submit(node, call);
 		return;
 	}
@@ -268,31 +270,31 @@
 	exchange.body = jj_bytes_copy(body->data, body->size);
 	exchange.last_id =
 	    last != NULL ? strtoll(last, NULL, 10) : JJ_EVENT_NO_ID;
-	jj_http_call_each_header(call, take_header, &gather);
+	jj_http_call_each_header(call, copy_header, &copy);
 	jj_http_call_set_context(call, (void *)(uintptr_t)request.request);
 	jj_stream_relay_add(node->relay, &exchange);
 	jj_gateway_post_request(node, &request);
 }
 
-/** All that concern more than this connection, but what we set ourselves. */
+/** Copies end-to-end headers, except those that this VM sets itself. */
 static void
-take_header(void *ctx, const char *name, const char *value)
+copy_header(void *ctx, const char *name, const char *value)
 {
-	const gather_t *gather = ctx;
-	const jj_front_headers_t *names = &gather->node->deployment->headers;
+	const header_copy_t *copy = ctx;
+	const jj_front_headers_t *names = &copy->node->deployment->headers;
 
 	if (jj_stream_relay_is_hop_header(name) ||
 	    strcasecmp(name, names->deadline_ms) == 0 ||
 	    strcasecmp(name, names->target) == 0 ||
 	    strcasecmp(name, names->last_event_id) == 0 ||
-	    is_named(gather->connection, name))
+	    is_listed(copy->connection, name))
 		return;
-	jj_stream_exchange_add_header(gather->exchange, name, value);
+	jj_stream_exchange_add_header(copy->exchange, name, value);
 }
 
-/** True when the value of Connection names the header. */
+/** True when the value of the Connection header lists this header. */
 static bool
-is_named(const char *connection, const char *name)
+is_listed(const char *connection, const char *name)
 {
 	size_t length = strlen(name);
 
@@ -306,19 +308,21 @@
 	return false;
 }
 
+/** True when the call submits a job to a batch route. */
 static bool
-takes_job(jj_gateway_node_t *node, jj_http_call_t *call, const char *host)
+is_job_submission(
+    jj_gateway_node_t *node, jj_http_call_t *call, const char *host)
 {
 	const jj_route_t *route;
-	bool takes;
+	bool is_batch;
 
 	if (strcmp(jj_http_call_method(call), "POST") != 0)
 		return false;
 	(void)apr_thread_mutex_lock(node->lock);
 	route = jj_routes_match(&node->routes, host, jj_http_call_path(call));
-	takes = route != NULL && route->kind == JJ_ROUTE_BATCH;
+	is_batch = route != NULL && route->kind == JJ_ROUTE_BATCH;
 	(void)apr_thread_mutex_unlock(node->lock);
-	return takes;
+	return is_batch;
 }
 
 static void
@@ -327,13 +331,14 @@
 	jj_inline_job_t job;
 
 	if (node->deployment->read_job(call, &job))
-		operate(node, call, JJ_GATEWAY_SUBMIT, NULL, &job);
+		start_operation(node, call, JJ_GATEWAY_SUBMIT, NULL, &job);
 	else
 		answer(node, call, 400, 0, "text/plain", NULL);
 }
 
+/** Posts an operation and adds its call to those that wait. */
 static void
-operate(jj_gateway_node_t *node, jj_http_call_t *call,
+start_operation(jj_gateway_node_t *node, jj_http_call_t *call,
     jj_gateway_operation_t kind, const jj_front_call_t *read,
     jj_inline_job_t *job)
 {
@@ -359,7 +364,7 @@
 	    jj_hash_bytes(uri, strlen(uri), 0));
 }
 
-/** Our own answers; while this VM stops, its connections are given up. */
+/** Sends an answer of this VM; closes the connection while it stops. */
 static void
 answer(jj_gateway_node_t *node, jj_http_call_t *call, int status,
     jj_ms_t retry_after_ms, const char *content_type, const jj_bytes_t *body)
--- a/src/daemon/gateway_node.c
+++ b/src/daemon/gateway_node.c
@@ -1,6 +1,6 @@
 /**
  * @file gateway_node.c
- * @brief Builds a VM that serves routes from its parts, and takes it down.
+ * @brief Creates and destroys the daemon of a VM that serves routes.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -13,11 +13,11 @@
 #include "daemon/gateway_node.h"
 
 /**
- * Messages of other VMs are taken together for so long, ms. Loads of dozens of
- * VMs come hundreds of times a second, each waking three threads; half as old
- * again as they are told (tell_near_ms).
+ * Time over which messages of other VMs are coalesced, ms. Dozens of VMs report
+ * their loads hundreds of times a second, and each message would wake three
+ * threads. The loads get older by up to half their interval (tell_near_ms).
  */
-#define GATHER_MS 5
+#define COALESCE_MS 5
 
 static void fill_settings(const jj_gateway_node_t *, jj_gateway_settings_t *);
 static void create_core(jj_gateway_node_t *);
@@ -69,7 +69,7 @@
 void
 jj_gateway_node_refuse(jj_gateway_node_t *node)
 {
-	atomic_store(&node->refusing, true);
+	atomic_store(&node->rejecting, true);
 }
 
 bool
@@ -132,7 +132,7 @@
 	node->core = jj_gateway_create(&settings, &port);
 }
 
-/** Times come from the file; names, the seed and the wire from elsewhere. */
+/** Times come from the settings file, the other values from this VM. */
 static void
 fill_settings(const jj_gateway_node_t *node, jj_gateway_settings_t *core)
 {
@@ -163,7 +163,7 @@
 	    deployment->config_key);
 	(void)snprintf(core->servers_prefix, sizeof(core->servers_prefix), "%s",
 	    deployment->servers_prefix);
-	/* Only a VM with a disk is emptied by an order. */
+	/* Retirement orders concern VMs with a disk, which serve no routes. */
 	if (!core->serves)
 		(void)snprintf(core->retire_prefix, sizeof(core->retire_prefix),
 		    "%s", deployment->retire_prefix);
@@ -180,7 +180,7 @@
 	    settings->platform.timeout_ms, jj_gateway_post_platform, node);
 	node->relay = jj_stream_relay_create(node->deployment, &relay);
 	node->neighbours = jj_neighbours_create(settings->listen_neighbours,
-	    GATHER_MS, jj_gateway_post_message, node);
+	    COALESCE_MS, jj_gateway_post_message, node);
 	return node->platform != NULL && node->relay != NULL &&
 	    node->neighbours != NULL;
 }
--- a/src/daemon/gateway_node.h
+++ b/src/daemon/gateway_node.h
@@ -2,9 +2,9 @@
  * @file gateway_node.h
  * @brief The daemon of a VM that serves routes of a deployment.
  *
- * One loop owns the gateway's core; callers' and servers' threads post to it
- * and are told what to do by its actions. The bytes of answers pass between
- * connections without it (daemon/stream_relay.h).
+ * One loop owns the gateway's core. The threads that serve callers and backend
+ * servers post events to it, and it executes the actions that the core returns.
+ * Response bytes don't pass through the loop (daemon/stream_relay.h).
  */
 #ifndef JJ_DAEMON_GATEWAY_NODE_H
 #define JJ_DAEMON_GATEWAY_NODE_H
@@ -22,83 +22,85 @@
 #include "core/gateway.h"
 #include "daemon/stream_relay.h"
 
-/** What a call waits for, beside the answer of a server. */
+/** Operations on jobs that a call may wait for. */
 typedef enum {
 	JJ_GATEWAY_SUBMIT,
-	JJ_GATEWAY_READ,
+	JJ_GATEWAY_READ_RESULTS,
 	JJ_GATEWAY_READ_ITEM,
-	JJ_GATEWAY_END,
+	JJ_GATEWAY_END_JOB,
 } jj_gateway_operation_t;
 
 typedef struct {
 	const jj_settings_t *settings;
 	const jj_deployment_t *deployment;
 	jj_incarnation_t incarnation;
-	jj_gateway_t *core; /**< the loop's own */
+	jj_gateway_t *core; /**< only for the loop */
 	jj_loop_t *loop;
 	jj_platform_t *platform;
 	jj_neighbours_t *neighbours;
 	jj_stream_relay_t *relay;
 	jj_http_server_t *callers;
-	jj_http_server_t *ready_server; /**< NULL: at the callers' address */
+	/** NULL: readiness is served at the callers' address. */
+	jj_http_server_t *ready_server;
 	jj_http_server_t *operators;
 
-	apr_pool_t *pool; /**< owns the locks that follow */
+	apr_pool_t *pool; /**< owns the lock below */
 	apr_thread_mutex_t *lock; /**< guards pending and routes */
-	GHashTable *pending; /**< waiting calls by operation */
-	jj_routes_t routes; /**< a copy, for the callers' threads */
+	GHashTable *pending; /**< calls that wait, by operation */
+	jj_routes_t routes; /**< a copy for the callers' threads */
 	atomic_uint_fast64_t last_number;
 	atomic_bool ready;
 	atomic_bool leaving;
-	atomic_bool refusing; /**< new requests would not end in time */
+	atomic_bool rejecting; /**< new requests could not complete in time */
 	atomic_bool idle;
 	atomic_uint stalled_jobs; /**< see jj_inline_health_t */
 	atomic_uint ownerless_jobs;
 } jj_gateway_node_t;
 
-/** Builds and starts everything; NULL (after a log line) on failure. */
+/** Creates and starts all parts; logs and returns NULL on failure. */
 jj_gateway_node_t *jj_gateway_node_create(
     const jj_settings_t *settings, const jj_deployment_t *deployment);
-/** Begins a planned stop: first the balancer is told. */
+/** Begins a planned stop; the readiness check fails for the balancer. */
 void jj_gateway_node_leave(jj_gateway_node_t *node);
-/** Later in a planned stop: no new request is taken any more. */
+/** Rejects new requests; called later in a planned stop. */
 void jj_gateway_node_refuse(jj_gateway_node_t *node);
-/** True when a planned stop has nothing left to wait for. */
+/** True when a planned stop has drained all work. */
 bool jj_gateway_node_is_idle(jj_gateway_node_t *node);
 void jj_gateway_node_destroy(jj_gateway_node_t *node);
 
 uint64_t jj_gateway_node_next_number(jj_gateway_node_t *node);
 
 /* Posting to the loop (gateway_events.c). */
-/** @param request its texts are copied. */
+/** @param request its strings are copied. */
 void jj_gateway_post_request(
     jj_gateway_node_t *node, const jj_gateway_request_t *request);
-void jj_gateway_post_gone(jj_gateway_node_t *node, uint64_t request);
+void jj_gateway_post_caller_gone(jj_gateway_node_t *node, uint64_t request);
 void jj_gateway_post_backend(
     void *node, const jj_backend_event_t *event, int status, jj_bytes_t *text);
 void jj_gateway_post_message(void *node, jj_message_t *message);
 void jj_gateway_post_platform(void *node, jj_platform_result_t *result);
-/** @param job of a submission: taken over; else NULL. */
+/** @param job of a submission, whose ownership moves; else NULL. */
 void
 jj_gateway_post_operation(jj_gateway_node_t *node, jj_gateway_operation_t kind,
     uint64_t operation, const jj_front_call_t *call, jj_inline_job_t *job);
-void jj_gateway_post_forget(jj_gateway_node_t *node, uint64_t operation);
+/** The caller that waits for an operation disconnected. */
+void jj_gateway_post_abandon(jj_gateway_node_t *node, uint64_t operation);
 void jj_gateway_post_leave(jj_gateway_node_t *node);
 jj_ms_t jj_gateway_node_next(void *node);
 void jj_gateway_node_tick(void *node, jj_ms_t now);
 
 /* Callers (gateway_front.c). */
 bool jj_gateway_node_serve(jj_gateway_node_t *node);
-/** Ends a request with an answer of our own. */
+/** Ends a request with an answer made by this VM. */
 void
 jj_gateway_answer_request(jj_gateway_node_t *node, const jj_answer_t *answer);
-/** Ends an operation's call. */
+/** Answers the call that waits for an operation. */
 void jj_gateway_answer_operation(jj_gateway_node_t *node, uint64_t operation,
     int status, jj_ms_t retry_after_ms, const jj_bytes_t *body);
-/** Makes the exchange of an item that is sent for the first time. */
+/** Adds the exchange of an item that is sent for the first time. */
 void jj_gateway_add_item(jj_gateway_node_t *node, uint64_t request,
     const jj_inline_job_t *job, const jj_inline_item_t *item);
-/** Operators and metrics. */
+/** Updates gauges and totals before a scrape. */
 void jj_gateway_update_metrics(jj_gateway_node_t *node);
 
 #endif
