--- a/src/adapters/http_client.c
+++ b/src/adapters/http_client.c
@@ -1,6 +1,6 @@
 /**
  * @file http_client.c
- * @brief HTTP requests on libcurl: one thread and one multi handle each.
+ * @brief HTTP client on libcurl; each client has a thread and a multi handle.
  */
 #include <errno.h>
 #include <netinet/in.h>
@@ -24,27 +24,27 @@
 #include "adapters/monotonic.h"
 #include "adapters/runtime.h"
 
-/** Longest wait of the loop without an event, milliseconds. */
+/** Longest wait of the event loop, milliseconds. */
 #define POLL_MS 1000
-/** Sockets that are looked at after one wait. */
+/** Socket events handled per epoll_wait. */
 #define EVENTS_MAX 64
 /**
- * With many transfers open the next events are only tens of microseconds
- * away, so they are gathered for a moment: one wake then serves the tokens of
- * many streams.
+ * With this many transfers open, events arrive tens of microseconds apart. The
+ * thread pauses between rounds to collect them, so that one wake-up handles
+ * the tokens of many streams.
  */
-#define GATHER_TRANSFERS 64
-#define GATHER_US 2000
-/** Longest time to connect, milliseconds; VMs are a few ms apart. */
+#define BATCHING_TRANSFERS_MIN 64
+#define BATCHING_PAUSE_US 2000
+/** Default connect timeout, milliseconds; VMs are a few ms apart. */
 #define CONNECT_TIMEOUT_MS 1000L
-/** Idle connections kept for reuse per client. */
+/** Idle connections that a client keeps for reuse. */
 #define IDLE_CONNECTIONS 512L
-/** Seconds of silence before a probe, and between probes. */
+/** TCP keep-alive: idle time before a probe and between probes, seconds. */
 #define KEEPALIVE_S 1L
-/** Probes without an answer until a connection counts as broken. */
+/** Unanswered keep-alive probes after which a connection is broken. */
 #define KEEPALIVE_PROBES 3
-/** The same for bytes that were sent and never acknowledged, ms. */
-#define SILENCE_MS 3000U
+/** TCP_USER_TIMEOUT: how long sent bytes may stay unacknowledged, ms. */
+#define TCP_ACK_TIMEOUT_MS 3000U
 
 typedef enum {
 	COMMAND_START,
@@ -59,17 +59,17 @@
 	char *body;
 	jj_http_request_t request; /**< only ctx and callbacks stay valid */
 	jj_http_head_t head;
-	GString *lines; /**< of the head */
-	bool head_told;
-	TAILQ_ENTRY(transfer) link; /**< of those that end when silent */
-	jj_ms_t silent_ms; /**< ends then if nothing comes before */
+	GString *lines; /**< header lines of the response */
+	bool head_delivered;
+	TAILQ_ENTRY(transfer) link; /**< in the client's idle_limited */
+	jj_ms_t idle_deadline_ms; /**< timed out then, unless data arrives */
 } transfer_t;
 
 typedef struct command {
 	STAILQ_ENTRY(command) link;
 	command_kind_t kind;
 	uint64_t number;
-	transfer_t *transfer; /**< of a start */
+	transfer_t *transfer; /**< COMMAND_START only */
 } command_t;
 
 struct jj_http_client {
@@ -79,42 +79,42 @@
 	STAILQ_HEAD(, command) commands;
 	bool stopping;
 	CURLM *multi;
-	int poller; /**< of the sockets that libcurl waits for, and wakeup */
-	int wakeup; /**< written to when a command is posted */
-	jj_ms_t due_ms; /**< libcurl wants to be called; JJ_MS_NEVER: not */
-	GHashTable *transfers; /**< by number; the thread's own */
-	TAILQ_HEAD(, transfer) limited; /**< those that end when silent */
-	jj_ms_t looked_ms; /**< what had come by then was read */
+	int poller; /**< epoll of libcurl's sockets and wakeup */
+	int wakeup; /**< eventfd, written when a command is posted */
+	jj_ms_t timer_due_ms; /**< of libcurl's timer, or JJ_MS_NEVER */
+	GHashTable *transfers; /**< by number; used by the thread only */
+	TAILQ_HEAD(, transfer) idle_limited; /**< begin_ms is set */
+	jj_ms_t last_read_ms; /**< all data that arrived before was read */
 	atomic_uint_fast64_t last_number;
 };
 
 static void *APR_THREAD_FUNC run(apr_thread_t *, void *);
 static bool set_up_multi(jj_http_client_t *);
-static int on_poll(CURL *, curl_socket_t, int, void *, void *);
+static int on_socket_change(CURL *, curl_socket_t, int, void *, void *);
 static int on_timer(CURLM *, long, void *);
 static void wait_for_events(jj_http_client_t *);
 static int wait_ms(const jj_http_client_t *);
-static bool take_commands(jj_http_client_t *);
-static void gather(const jj_http_client_t *);
-static void release(jj_http_client_t *);
+static bool run_commands(jj_http_client_t *);
+static void pause_to_batch_events(const jj_http_client_t *);
+static void free_client(jj_http_client_t *);
 static void start_transfer(jj_http_client_t *, transfer_t *);
 static void cancel_transfer(jj_http_client_t *, uint64_t);
 static void resume_transfer(jj_http_client_t *, uint64_t);
-static void finish_done(jj_http_client_t *);
-static void end_silent(jj_http_client_t *);
-static void note_piece(transfer_t *);
+static void end_completed_transfers(jj_http_client_t *);
+static void time_out_idle_transfers(jj_http_client_t *);
+static void extend_idle_deadline(transfer_t *);
 static void end_transfer(jj_http_client_t *, transfer_t *, jj_http_end_t);
 static void free_transfer(transfer_t *);
 static transfer_t *prepare_transfer(const jj_http_request_t *);
-static void leave_out_defaults(transfer_t *);
-static void set_silence(CURL *);
-static int on_socket(void *, curl_socket_t, curlsocktype);
+static void remove_default_headers(transfer_t *);
+static void set_keepalive(CURL *);
+static int on_socket_created(void *, curl_socket_t, curlsocktype);
 static void set_body(transfer_t *, const jj_http_request_t *);
-static jj_http_end_t classify(CURL *, CURLcode);
+static jj_http_end_t classify_result(CURL *, CURLcode);
 static size_t on_header(char *, size_t, size_t, void *);
 static size_t on_body(char *, size_t, size_t, void *);
 static void append_line(GString *, const char *, size_t);
-static void tell_head(transfer_t *);
+static void deliver_head(transfer_t *);
 static void
 push_command(jj_http_client_t *, command_kind_t, uint64_t, transfer_t *);
 
@@ -127,10 +127,10 @@
 	client->pool = jj_runtime_create_pool();
 	client->lock = jj_runtime_create_mutex(client->pool);
 	client->transfers = g_hash_table_new(g_int64_hash, g_int64_equal);
-	TAILQ_INIT(&client->limited);
+	TAILQ_INIT(&client->idle_limited);
 	client->poller = epoll_create1(EPOLL_CLOEXEC);
 	client->wakeup = eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC);
-	client->due_ms = JJ_MS_NEVER;
+	client->timer_due_ms = JJ_MS_NEVER;
 	client->multi = curl_multi_init();
 	if (client->multi == NULL || !set_up_multi(client))
 		goto out_multi;
@@ -140,7 +140,7 @@
 	return client;
 
 out_multi:
-	release(client);
+	free_client(client);
 	return NULL;
 }
 
@@ -154,7 +154,7 @@
 	(void)apr_thread_mutex_unlock(client->lock);
 	(void)eventfd_write(client->wakeup, 1);
 	jj_runtime_join_thread(client->thread);
-	release(client);
+	free_client(client);
 }
 
 uint64_t
@@ -198,9 +198,9 @@
 		(void)eventfd_write(client->wakeup, 1);
 }
 
-/** All but the thread; descriptors that could not be had are none. */
+/** Frees all but the thread. Descriptors are -1 if opening them failed. */
 static void
-release(jj_http_client_t *client)
+free_client(jj_http_client_t *client)
 {
 	if (client->multi != NULL)
 		(void)curl_multi_cleanup(client->multi);
@@ -214,9 +214,9 @@
 }
 
 /**
- * libcurl says which sockets it waits for. Asked to look for itself it looks
- * at every transfer after each wake, with a call of the system for each: on
- * VMs of 0.12 cores that was a tenth of their processor time.
+ * Makes libcurl report the sockets to wait for. If libcurl polls them itself,
+ * it checks every transfer after each wake-up, with a system call for each; on
+ * VMs with 0.12 cores that took a tenth of the CPU time.
  */
 static bool
 set_up_multi(jj_http_client_t *client)
@@ -227,7 +227,7 @@
 	(void)curl_multi_setopt(
 	    client->multi, CURLMOPT_MAXCONNECTS, IDLE_CONNECTIONS);
 	(void)curl_multi_setopt(
-	    client->multi, CURLMOPT_SOCKETFUNCTION, on_poll);
+	    client->multi, CURLMOPT_SOCKETFUNCTION, on_socket_change);
 	(void)curl_multi_setopt(client->multi, CURLMOPT_SOCKETDATA, client);
 	(void)curl_multi_setopt(
 	    client->multi, CURLMOPT_TIMERFUNCTION, on_timer);
@@ -237,9 +237,10 @@
 	    0;
 }
 
-/** @param known set while the socket is in the poller. */
+/** @param known not NULL if the socket is registered with epoll. */
 static int
-on_poll(CURL *easy, curl_socket_t socket, int what, void *ctx, void *known)
+on_socket_change(
+    CURL *easy, curl_socket_t socket, int what, void *ctx, void *known)
 {
 	jj_http_client_t *client = ctx;
 	struct epoll_event event = {0};
@@ -258,7 +259,7 @@
 	(void)curl_multi_assign(client->multi, socket, client);
 	if (epoll_ctl(client->poller, change, socket, &event) == 0)
 		return 0;
-	/* Its transfer ends by its time limit, the others go on. */
+	/* This transfer will time out; the others are not affected. */
 	jj_log(JJ_LOG_ERROR, "socket_not_watched", "socket=%d errno=%d",
 	    (int)socket, errno);
 	return 0;
@@ -270,7 +271,7 @@
 	jj_http_client_t *client = ctx;
 
 	(void)multi;
-	client->due_ms =
+	client->timer_due_ms =
 	    timeout_ms < 0 ? JJ_MS_NEVER : jj_monotonic_now() + timeout_ms;
 	return 0;
 }
@@ -283,11 +284,11 @@
 	gpointer value;
 
 	(void)thread;
-	while (take_commands(client)) {
+	while (run_commands(client)) {
 		wait_for_events(client);
-		finish_done(client);
-		end_silent(client);
-		gather(client);
+		end_completed_transfers(client);
+		time_out_idle_transfers(client);
+		pause_to_batch_events(client);
 	}
 	for (;;) {
 		g_hash_table_iter_init(&iterator, client->transfers);
@@ -310,14 +311,14 @@
 	int i;
 
 	if (count < EVENTS_MAX)
-		client->looked_ms = jj_monotonic_now();
+		client->last_read_ms = jj_monotonic_now();
 	for (i = 0; i < count; i++) {
 		if (events[i].data.fd == client->wakeup) {
 			(void)eventfd_read(client->wakeup, &posted);
 			continue;
 		}
 		flags = 0;
-		/* A socket in error is looked at either way. */
+		/* An error sets both flags: libcurl handles it in any case. */
 		if (events[i].events & (EPOLLIN | EPOLLHUP | EPOLLERR))
 			flags |= CURL_CSELECT_IN;
 		if (events[i].events & (EPOLLOUT | EPOLLERR))
@@ -325,9 +326,9 @@
 		(void)curl_multi_socket_action(
 		    client->multi, events[i].data.fd, flags, &running);
 	}
-	if (jj_monotonic_now() < client->due_ms)
+	if (jj_monotonic_now() < client->timer_due_ms)
 		return;
-	client->due_ms = JJ_MS_NEVER;
+	client->timer_due_ms = JJ_MS_NEVER;
 	(void)curl_multi_socket_action(
 	    client->multi, CURL_SOCKET_TIMEOUT, 0, &running);
 }
@@ -336,13 +337,13 @@
 wait_ms(const jj_http_client_t *client)
 {
 	const transfer_t *transfer;
-	jj_ms_t due = client->due_ms;
+	jj_ms_t due = client->timer_due_ms;
 	jj_ms_t now;
 
-	TAILQ_FOREACH(transfer, &client->limited, link)
+	TAILQ_FOREACH(transfer, &client->idle_limited, link)
 	{
-		if (due == JJ_MS_NEVER || transfer->silent_ms < due)
-			due = transfer->silent_ms;
+		if (due == JJ_MS_NEVER || transfer->idle_deadline_ms < due)
+			due = transfer->idle_deadline_ms;
 	}
 	if (due == JJ_MS_NEVER)
 		return POLL_MS;
@@ -353,15 +354,15 @@
 }
 
 static void
-gather(const jj_http_client_t *client)
+pause_to_batch_events(const jj_http_client_t *client)
 {
-	if (g_hash_table_size(client->transfers) >= GATHER_TRANSFERS)
-		apr_sleep(GATHER_US);
+	if (g_hash_table_size(client->transfers) >= BATCHING_TRANSFERS_MIN)
+		apr_sleep(BATCHING_PAUSE_US);
 }
 
-/** Carries out what was asked for; false when the client shall stop. */
+/** Runs the posted commands; false when the client shall stop. */
 static bool
-take_commands(jj_http_client_t *client)
+run_commands(jj_http_client_t *client)
 {
 	command_t *command;
 	bool stopping;
@@ -391,9 +392,9 @@
 	(void)g_hash_table_insert(
 	    client->transfers, &transfer->number, transfer);
 	if (transfer->request.begin_ms > 0) {
-		transfer->silent_ms =
+		transfer->idle_deadline_ms =
 		    jj_monotonic_now() + transfer->request.begin_ms;
-		TAILQ_INSERT_TAIL(&client->limited, transfer, link);
+		TAILQ_INSERT_TAIL(&client->idle_limited, transfer, link);
 	}
 	if (curl_multi_add_handle(client->multi, transfer->easy) != CURLM_OK)
 		end_transfer(client, transfer, JJ_HTTP_NOT_SENT);
@@ -418,7 +419,7 @@
 }
 
 static void
-finish_done(jj_http_client_t *client)
+end_completed_transfers(jj_http_client_t *client)
 {
 	transfer_t *transfer;
 	CURLMsg *message;
@@ -430,47 +431,55 @@
 			continue;
 		(void)curl_easy_getinfo(
 		    message->easy_handle, CURLINFO_PRIVATE, &transfer);
-		end = classify(message->easy_handle, message->data.result);
+		end =
+		    classify_result(message->easy_handle, message->data.result);
 		end_transfer(client, transfer, end);
 	}
 }
 
-/** Time in which this process read nothing does not count as silence. */
+/**
+ * Times out transfers that receive no data. Time in which this process itself
+ * did not read (it was paused) does not count.
+ */
 static void
-end_silent(jj_http_client_t *client)
+time_out_idle_transfers(jj_http_client_t *client)
 {
 	transfer_t *transfer;
 	transfer_t *next;
 
-	for (transfer = TAILQ_FIRST(&client->limited); transfer != NULL;
+	for (transfer = TAILQ_FIRST(&client->idle_limited); transfer != NULL;
 	     transfer = next) {
 		next = TAILQ_NEXT(transfer, link);
-		if (transfer->silent_ms <= client->looked_ms)
+		if (transfer->idle_deadline_ms <= client->last_read_ms)
 			end_transfer(client, transfer,
-			    classify(transfer->easy, CURLE_OPERATION_TIMEDOUT));
+			    classify_result(
+				transfer->easy, CURLE_OPERATION_TIMEDOUT));
 	}
 }
 
-/** A head may come long before its body: it does not shorten the time left. */
+/**
+ * Extends a transfer's deadline as data arrived. It never shortens it: the
+ * headers may arrive long before the body, within begin_ms.
+ */
 static void
-note_piece(transfer_t *transfer)
+extend_idle_deadline(transfer_t *transfer)
 {
-	jj_ms_t silent_ms;
+	jj_ms_t idle_deadline_ms;
 
 	if (transfer->request.begin_ms == 0)
 		return;
-	silent_ms = jj_monotonic_now() + transfer->request.silence_ms;
-	if (silent_ms > transfer->silent_ms)
-		transfer->silent_ms = silent_ms;
+	idle_deadline_ms = jj_monotonic_now() + transfer->request.silence_ms;
+	if (idle_deadline_ms > transfer->idle_deadline_ms)
+		transfer->idle_deadline_ms = idle_deadline_ms;
 }
 
 /**
- * Tells whether bytes may have reached the server. "Not sent" is a promise
- * to the caller that nothing ran, so it is only said when there was no
- * connection at all.
+ * Determines whether bytes may have reached the server. JJ_HTTP_NOT_SENT
+ * promises the caller that the request did not run, so it is returned only if
+ * no connection was established.
  */
 static jj_http_end_t
-classify(CURL *easy, CURLcode result)
+classify_result(CURL *easy, CURLcode result)
 {
 	curl_off_t ready_us = 0;
 	long request_size = 0;
@@ -480,9 +489,9 @@
 	(void)curl_easy_getinfo(easy, CURLINFO_PRETRANSFER_TIME_T, &ready_us);
 	(void)curl_easy_getinfo(easy, CURLINFO_REQUEST_SIZE, &request_size);
 	/*
-	 * libcurl sends again by itself when a reused connection closes
-	 * without an answer. A server that died of the request then refuses
-	 * the new connection, yet the request had been sent.
+	 * libcurl retries when a reused connection closes without a response.
+	 * If the request crashed the server, the retry's connection is
+	 * refused, although the request was sent on the first one.
 	 */
 	if (result == CURLE_COULDNT_CONNECT && request_size == 0)
 		return JJ_HTTP_NOT_SENT;
@@ -499,9 +508,9 @@
 	(void)curl_multi_remove_handle(client->multi, transfer->easy);
 	(void)g_hash_table_remove(client->transfers, &transfer->number);
 	if (transfer->request.begin_ms > 0)
-		TAILQ_REMOVE(&client->limited, transfer, link);
+		TAILQ_REMOVE(&client->idle_limited, transfer, link);
 	if (end == JJ_HTTP_COMPLETE)
-		tell_head(transfer);
+		deliver_head(transfer);
 	transfer->request.on_end(transfer->request.ctx, end, &transfer->head);
 	free_transfer(transfer);
 }
@@ -541,7 +550,7 @@
 	    transfer->easy, CURLOPT_HTTP_VERSION, CURL_HTTP_VERSION_1_1);
 	(void)curl_easy_setopt(
 	    transfer->easy, CURLOPT_CONNECTTIMEOUT_MS, (long)connect_ms);
-	set_silence(transfer->easy);
+	set_keepalive(transfer->easy);
 	(void)curl_easy_setopt(
 	    transfer->easy, CURLOPT_TIMEOUT_MS, (long)request->timeout_ms);
 	(void)curl_easy_setopt(transfer->easy, CURLOPT_PRIVATE, transfer);
@@ -556,7 +565,7 @@
 		(void)curl_easy_setopt(
 		    transfer->easy, CURLOPT_FORBID_REUSE, 1L);
 	}
-	/* Without this libcurl waits for "100 Continue" on larger bodies. */
+	/* Otherwise libcurl waits for "100 Continue" on larger bodies. */
 	transfer->headers = curl_slist_append(transfer->headers, "Expect:");
 	for (i = 0; i < JJ_HTTP_HEADERS_MAX; i++) {
 		if (request->headers[i] == NULL)
@@ -568,16 +577,16 @@
 		transfer->headers = curl_slist_append(
 		    transfer->headers, request->more_headers[i]);
 	if (request->verbatim)
-		leave_out_defaults(transfer);
+		remove_default_headers(transfer);
 	(void)curl_easy_setopt(
 	    transfer->easy, CURLOPT_HTTPHEADER, transfer->headers);
 	set_body(transfer, request);
 	return transfer;
 }
 
-/** libcurl's own headers go, but where the request has that header. */
+/** Removes libcurl's default headers, except those that the request sets. */
 static void
-leave_out_defaults(transfer_t *transfer)
+remove_default_headers(transfer_t *transfer)
 {
 	static const char *const names[] = {"Accept:", "Content-Type:"};
 	const struct curl_slist *line;
@@ -595,24 +604,25 @@
 }
 
 /**
- * Guards against connections that fall silent for good without a reset: the
- * peer's machine lost power, or is behind a cut. Probes of the kernel end
- * them within some seconds, where else a watch would wait for its whole time.
+ * Guards against dead connections that were never reset: the peer's machine
+ * lost power, or a network partition separates it. TCP keep-alive closes them
+ * within seconds; otherwise a watch would wait for its whole timeout.
  */
 static void
-set_silence(CURL *easy)
+set_keepalive(CURL *easy)
 {
 	(void)curl_easy_setopt(easy, CURLOPT_TCP_KEEPALIVE, 1L);
 	(void)curl_easy_setopt(easy, CURLOPT_TCP_KEEPIDLE, KEEPALIVE_S);
 	(void)curl_easy_setopt(easy, CURLOPT_TCP_KEEPINTVL, KEEPALIVE_S);
-	(void)curl_easy_setopt(easy, CURLOPT_SOCKOPTFUNCTION, on_socket);
+	(void)curl_easy_setopt(
+	    easy, CURLOPT_SOCKOPTFUNCTION, on_socket_created);
 }
 
 static int
-on_socket(void *ctx, curl_socket_t socket, curlsocktype purpose)
+on_socket_created(void *ctx, curl_socket_t socket, curlsocktype purpose)
 {
 	int count = KEEPALIVE_PROBES;
-	unsigned int timeout = SILENCE_MS;
+	unsigned int timeout = TCP_ACK_TIMEOUT_MS;
 
 	(void)ctx;
 	(void)purpose;
@@ -641,7 +651,8 @@
 }
 
 static void
-copy_header(char *target, size_t room, const char *name, const char *line)
+copy_header(
+    char *target, size_t target_size, const char *name, const char *line)
 {
 	size_t length = strlen(name);
 
@@ -650,7 +661,7 @@
 	line += length;
 	while (*line == ' ')
 		line++;
-	(void)snprintf(target, room, "%s", line);
+	(void)snprintf(target, target_size, "%s", line);
 }
 
 static size_t
@@ -660,9 +671,9 @@
 	jj_http_head_t *head = &transfer->head;
 	size_t length = size * count;
 	char line[256];
-	char number[32] = "";
+	char retry_after[32] = "";
 
-	note_piece(transfer);
+	extend_idle_deadline(transfer);
 	(void)snprintf(line, sizeof(line), "%.*s", (int)length, data);
 	line[strcspn(line, "\r\n")] = '\0';
 	if (strncmp(line, "HTTP/", 5) == 0) {
@@ -675,17 +686,17 @@
 		(void)g_string_truncate(transfer->lines, 0);
 		return length;
 	}
-	if (!transfer->head_told)
+	if (!transfer->head_delivered)
 		append_line(transfer->lines, data, length);
 	copy_header(head->content_type, sizeof(head->content_type),
 	    "Content-Type:", line);
 	copy_header(head->etag, sizeof(head->etag), "ETag:", line);
 	copy_header(head->stream, sizeof(head->stream), "Jujube-Stream:", line);
 	copy_header(head->boot, sizeof(head->boot), "Jujube-Boot:", line);
-	copy_header(number, sizeof(number), "Retry-After:", line);
-	if (number[0] != '\0')
+	copy_header(retry_after, sizeof(retry_after), "Retry-After:", line);
+	if (retry_after[0] != '\0')
 		head->retry_after_ms =
-		    (jj_ms_t)(g_ascii_strtod(number, NULL) * 1000);
+		    (jj_ms_t)(g_ascii_strtod(retry_after, NULL) * 1000);
 	if (strncasecmp(line, "Jujube-Leaving:", 15) == 0)
 		head->leaving = true;
 	return length;
@@ -704,17 +715,17 @@
 }
 
 static void
-tell_head(transfer_t *transfer)
+deliver_head(transfer_t *transfer)
 {
 	long status = 0;
 
-	if (transfer->head_told)
+	if (transfer->head_delivered)
 		return;
 	(void)curl_easy_getinfo(
 	    transfer->easy, CURLINFO_RESPONSE_CODE, &status);
 	transfer->head.status = (int)status;
 	transfer->head.lines = transfer->lines->str;
-	transfer->head_told = true;
+	transfer->head_delivered = true;
 	if (transfer->request.on_head != NULL)
 		transfer->request.on_head(
 		    transfer->request.ctx, &transfer->head);
@@ -726,8 +737,8 @@
 	transfer_t *transfer = ctx;
 	size_t length = size * count;
 
-	note_piece(transfer);
-	tell_head(transfer);
+	extend_idle_deadline(transfer);
+	deliver_head(transfer);
 	if (transfer->request.on_data(transfer->request.ctx, data, length) ==
 	    JJ_HTTP_PAUSE)
 		return CURL_WRITEFUNC_PAUSE;
--- a/src/adapters/http_client.h
+++ b/src/adapters/http_client.h
@@ -1,29 +1,29 @@
 /**
  * @file http_client.h
- * @brief HTTP requests on libcurl: one thread and one multi handle each.
+ * @brief HTTP client on libcurl; each client has a thread and a multi handle.
  *
- * Callbacks run on the client's thread and must not block. A request that is
- * cancelled closes its connection, so that late bytes of an abandoned answer
- * die with it and can never be read as the next request's answer.
+ * Callbacks run on the client's thread and must not block. Cancelling a
+ * request closes its connection, so that late bytes of the abandoned answer
+ * cannot be read as the answer to the next request.
  */
 #ifndef JJ_ADAPTERS_HTTP_CLIENT_H
 #define JJ_ADAPTERS_HTTP_CLIENT_H
 
 #include "core/types.h"
 
-/** Most extra headers of a request. */
+/** Maximum number of extra headers in jj_http_request_t.headers. */
 #define JJ_HTTP_HEADERS_MAX 8
 
 /** How a request ended. */
 typedef enum {
-	JJ_HTTP_COMPLETE, /**< a whole answer, as HTTP frames it */
-	JJ_HTTP_NOT_SENT, /**< no connection: surely no byte was sent */
+	JJ_HTTP_COMPLETE, /**< complete by HTTP's framing */
+	JJ_HTTP_NOT_SENT, /**< no connection: no byte was sent */
 	JJ_HTTP_BROKEN, /**< failed after bytes may have been sent */
-	JJ_HTTP_TIMEOUT, /**< no end in time after bytes were sent */
+	JJ_HTTP_TIMEOUT, /**< not complete in time after bytes were sent */
 	JJ_HTTP_CANCELLED,
 } jj_http_end_t;
 
-/** The head of an answer, as far as we use it. */
+/** Status and those headers of an answer that are used here. */
 typedef struct {
 	int status;
 	char content_type[96];
@@ -32,39 +32,39 @@
 	char boot[20]; /**< Jujube-Boot */
 	bool leaving; /**< Jujube-Leaving is set */
 	jj_ms_t retry_after_ms; /**< Retry-After, 0: none */
-	const char *lines; /**< all header lines, each with a line feed */
+	const char *lines; /**< all header lines, each ending in a line feed */
 } jj_http_head_t;
 
-/** What a data callback did with the bytes. */
+/** Result of a data callback. */
 typedef enum {
 	JJ_HTTP_TAKEN,
-	JJ_HTTP_PAUSE, /**< not taken: offer again after a resume */
+	JJ_HTTP_PAUSE, /**< not consumed: deliver again after a resume */
 } jj_http_flow_t;
 
 /** One request; the client copies what it needs. */
 typedef struct {
 	const char *method; /**< "GET", "POST", ... */
 	const char *address; /**< IP:PORT */
-	const char *path; /**< with the query */
+	const char *path; /**< with the query string */
 	const char *headers[JJ_HTTP_HEADERS_MAX]; /**< "Name: value" or NULL */
 	const void *body;
 	size_t body_size;
-	jj_ms_t timeout_ms; /**< whole request; 0: none */
-	jj_ms_t begin_ms; /**< until an answer begins; 0: no such limit */
-	jj_ms_t silence_ms; /**< between its pieces, if begin_ms is set */
+	jj_ms_t timeout_ms; /**< for the whole request; 0: none */
+	jj_ms_t begin_ms; /**< timeout until the answer begins; 0: none */
+	jj_ms_t silence_ms; /**< then between reads, if begin_ms is set */
 	/**
-	 * A connection of its own, never a reused one. libcurl repeats a
-	 * request by itself when a reused connection closes before the first
-	 * byte of an answer; a non-idempotent call whose server died after
-	 * running it would run twice. On a fresh connection it never repeats.
+	 * Use a new connection, and only for this request. libcurl retries a
+	 * request when a reused connection closes before the first byte of
+	 * the answer; a non-idempotent call whose server failed after running
+	 * it would run twice. On a new connection libcurl never retries.
 	 */
 	bool once;
-	/** More header lines, as `headers`; copied. */
+	/** Additional header lines of the form of `headers`; copied. */
 	char *const *more_headers;
 	size_t more_header_count;
-	/** Only the headers given here are sent, none of libcurl's own. */
+	/** Send only the headers given here, none of libcurl's defaults. */
 	bool verbatim;
-	jj_ms_t connect_ms; /**< longest time to connect; 0: the default */
+	jj_ms_t connect_ms; /**< connect timeout; 0: the default */
 	void *ctx;
 	void (*on_head)(void *ctx, const jj_http_head_t *head); /**< or NULL */
 	jj_http_flow_t (*on_data)(void *ctx, const char *data, size_t size);
@@ -74,16 +74,16 @@
 
 typedef struct jj_http_client jj_http_client_t;
 
-/** Starts the client's thread; NULL when libcurl or the thread fails. */
+/** Starts the client's thread; NULL if libcurl or the thread fails. */
 jj_http_client_t *jj_http_client_create(void);
-/** Cancels all requests (their on_end runs) and ends the thread. */
+/** Cancels all requests (their on_end runs) and stops the thread. */
 void jj_http_client_destroy(jj_http_client_t *client);
-/** Starts a request; its number is for cancel and resume. */
+/** Starts a request; returns its number, for cancel and resume. */
 uint64_t jj_http_client_start(
     jj_http_client_t *client, const jj_http_request_t *request);
-/** Cancels a request; nothing happens when it has ended. */
+/** Cancels a request; no effect if it has ended. */
 void jj_http_client_cancel(jj_http_client_t *client, uint64_t number);
-/** Offers paused bytes again. */
+/** Delivers the data of a paused request again. */
 void jj_http_client_resume(jj_http_client_t *client, uint64_t number);
 
 #endif
--- a/src/adapters/http_server.c
+++ b/src/adapters/http_server.c
@@ -1,6 +1,6 @@
 /**
  * @file http_server.c
- * @brief HTTP towards callers and operators, on libmicrohttpd.
+ * @brief HTTP server for callers and operators, on libmicrohttpd.
  */
 #include <arpa/inet.h>
 #include <netinet/in.h>
@@ -16,81 +16,81 @@
 #include "adapters/http_server.h"
 #include "adapters/runtime.h"
 
-/** How often waiting callers are looked at for a closed connection, ms. */
-#define SWEEP_MS 200
-/** Largest piece handed to the connection at once, bytes. */
-#define STREAM_BLOCK 65536
-/** A body this many times over its limit is not read to its end. */
+/** Interval of the check for callers that closed their connection, ms. */
+#define DISCONNECT_CHECK_MS 200
+/** Block size of streamed responses, bytes. */
+#define STREAM_BLOCK_BYTES 65536
+/** Reading stops when this many times the body limit was discarded. */
 #define OVERSIZE_FACTOR 4
-/** Part of a connection's memory for the headers that a server sent. */
-#define HEAD_PART 2
-/** Bytes of a header line besides its name and value. */
-#define HEADER_FRAME 4
+/** Headers from a backend server may use 1/this of header_bytes. */
+#define EXTRA_HEADERS_DIVISOR 2
+/** Bytes of a header line besides name and value: ": " and CRLF. */
+#define HEADER_LINE_OVERHEAD 4
 /**
- * Locks that the calls of a server share: APR keeps a lock in a pool, and a
- * pool for each call would cost it 8 KB. No thread holds two calls' locks.
+ * Locks shared by the calls of a server. APR allocates a lock from a pool, and
+ * a pool per call would cost 8 KB each. No thread holds the locks of two calls.
  */
 #define CALL_LOCKS 64
 
 typedef enum {
-	CALL_READING, /**< the body is coming in */
+	CALL_READING, /**< receiving the body */
 	CALL_WAITING, /**< no answer yet */
-	CALL_ANSWERED, /**< a whole answer is ready */
-	CALL_STREAMING, /**< a stream has begun */
-	CALL_ENDED, /**< the stream's last byte is in the buffer */
+	CALL_ANSWERED, /**< a complete answer is ready */
+	CALL_STREAMING, /**< a streamed answer has begun */
+	CALL_ENDED, /**< the stream's last byte is buffered */
 } call_state_t;
 
 struct jj_http_call {
-	TAILQ_ENTRY(jj_http_call) link; /**< in the server's open calls */
+	TAILQ_ENTRY(jj_http_call) link; /**< in the server's open_calls */
 	jj_http_server_t *server;
 	struct MHD_Connection *connection;
 	atomic_int references;
 	char *method;
 	char *path;
-	char *uri; /**< as it came */
+	char *uri; /**< as received, not decoded */
 	bool is_upload;
-	bool begun; /**< the port knows of it */
+	bool passed_to_port; /**< on_request or on_upload was called */
 	bool too_large;
-	size_t dropped; /**< bytes of a body over its limit */
+	size_t dropped; /**< discarded bytes of a too large body */
 	jj_bytes_t body;
-	size_t body_room;
+	size_t body_capacity;
 	void *context;
 
 	apr_thread_mutex_t *lock; /**< one of the server's; guards all below */
 	call_state_t state;
 	bool suspended;
-	bool gone; /**< the caller went away */
-	bool finished; /**< libmicrohttpd is done with it */
+	bool disconnected; /**< by the caller, or as the server stops */
+	bool finished; /**< libmicrohttpd has completed the request */
 	bool broken;
-	bool full; /**< a write was refused */
+	bool report_writable; /**< a write was refused: on_room follows */
 	struct MHD_Response *response;
 	int status;
 	char *buffer;
 	size_t buffer_start;
 	size_t buffer_size;
-	size_t buffer_room;
+	size_t buffer_capacity;
 };
 
-/** What each header is handed to. */
+/** Callback for each header, with its context. */
 typedef struct {
 	void (*take)(void *, const char *, const char *);
 	void *ctx;
-} header_taker_t;
+} header_callback_t;
 
 struct jj_http_server {
 	struct MHD_Daemon *daemon;
 	jj_http_port_t port;
 	jj_http_limits_t limits;
 	apr_pool_t *pool;
-	/** Its own, and one for each call: calls may outlive its end. */
+	/** One of the owner and one per call: calls may outlive the server. */
 	atomic_int references;
-	apr_thread_mutex_t *lock; /**< guards open and stopping */
-	TAILQ_HEAD(, jj_http_call) open;
+	apr_thread_mutex_t *lock; /**< guards open_calls and stopping */
+	TAILQ_HEAD(, jj_http_call) open_calls;
 	atomic_uint open_count;
 	apr_thread_mutex_t *call_locks[CALL_LOCKS];
 	atomic_uint next_call_lock;
-	apr_thread_t *sweeper;
-	apr_pollset_t *waker; /**< of the sweeper */
+	apr_thread_t *disconnect_checker;
+	apr_pollset_t *waker; /**< ends the wait of disconnect_checker */
 	bool stopping;
 };
 
@@ -99,22 +99,22 @@
 static void *prepare_call(void *, const char *, struct MHD_Connection *);
 static enum MHD_Result begin_call(jj_http_call_t *, const char *, const char *);
 static enum MHD_Result
-take_header(void *, enum MHD_ValueKind, const char *, const char *);
-static enum MHD_Result take_body(jj_http_call_t *, const char *, size_t *);
-static enum MHD_Result take_upload(jj_http_call_t *, const char *, size_t *);
-static enum MHD_Result go_on(jj_http_call_t *);
-static void completed(
+pass_header(void *, enum MHD_ValueKind, const char *, const char *);
+static enum MHD_Result collect_body(jj_http_call_t *, const char *, size_t *);
+static enum MHD_Result pass_upload(jj_http_call_t *, const char *, size_t *);
+static enum MHD_Result continue_call(jj_http_call_t *);
+static void on_completed(
     void *, struct MHD_Connection *, void **, enum MHD_RequestTerminationCode);
 static ssize_t read_stream(void *, uint64_t, char *, size_t);
-static void resume_locked(jj_http_call_t *);
-static void set_fields(
+static void resume_connection(jj_http_call_t *);
+static void add_headers(
     const jj_http_call_t *, struct MHD_Response *, const jj_http_answer_t *);
-static void *APR_THREAD_FUNC sweep(apr_thread_t *, void *);
-static jj_http_call_t *find_closed(jj_http_server_t *, bool *);
-static void tell_gone(jj_http_server_t *, jj_http_call_t *);
-static bool is_closed(jj_http_call_t *);
+static void *APR_THREAD_FUNC run_disconnect_checks(apr_thread_t *, void *);
+static jj_http_call_t *find_disconnected(jj_http_server_t *, bool *);
+static void notify_disconnect(jj_http_server_t *, jj_http_call_t *);
+static bool detect_disconnect(jj_http_call_t *);
 static bool parse_address(const char *, struct sockaddr_in *);
-static void grow(char **, size_t *, size_t);
+static void ensure_capacity(char **, size_t *, size_t);
 static jj_http_server_t *
 prepare_server(const jj_http_limits_t *, const jj_http_port_t *);
 static void release_server(jj_http_server_t *);
@@ -142,12 +142,13 @@
 	    MHD_OPTION_CONNECTION_TIMEOUT,
 	    (unsigned int)(limits->idle_ms / 1000),
 	    MHD_OPTION_LISTENING_ADDRESS_REUSE, 1u, MHD_OPTION_URI_LOG_CALLBACK,
-	    prepare_call, server, MHD_OPTION_NOTIFY_COMPLETED, completed,
+	    prepare_call, server, MHD_OPTION_NOTIFY_COMPLETED, on_completed,
 	    server, MHD_OPTION_END);
 	if (server->daemon == NULL)
 		goto out;
-	server->sweeper = jj_runtime_start_thread(server->pool, sweep, server);
-	if (server->sweeper == NULL)
+	server->disconnect_checker = jj_runtime_start_thread(
+	    server->pool, run_disconnect_checks, server);
+	if (server->disconnect_checker == NULL)
 		goto out_daemon;
 	return server;
 
@@ -167,16 +168,16 @@
 		return;
 	(void)apr_thread_mutex_lock(server->lock);
 	server->stopping = true;
-	TAILQ_FOREACH(call, &server->open, link)
+	TAILQ_FOREACH(call, &server->open_calls, link)
 	{
 		(void)apr_thread_mutex_lock(call->lock);
-		call->gone = true;
-		resume_locked(call);
+		call->disconnected = true;
+		resume_connection(call);
 		(void)apr_thread_mutex_unlock(call->lock);
 	}
 	(void)apr_thread_mutex_unlock(server->lock);
 	(void)apr_pollset_wakeup(server->waker);
-	jj_runtime_join_thread(server->sweeper);
+	jj_runtime_join_thread(server->disconnect_checker);
 	MHD_stop_daemon(server->daemon);
 	release_server(server);
 }
@@ -209,10 +210,10 @@
 jj_http_call_each_header(const jj_http_call_t *call,
     void (*take)(void *ctx, const char *name, const char *value), void *ctx)
 {
-	header_taker_t taker = {take, ctx};
+	header_callback_t callback = {take, ctx};
 
 	(void)MHD_get_connection_values(
-	    call->connection, MHD_HEADER_KIND, take_header, &taker);
+	    call->connection, MHD_HEADER_KIND, pass_header, &callback);
 }
 
 const char *
@@ -255,14 +256,14 @@
 	    size, (void *)body, MHD_RESPMEM_MUST_COPY);
 
 	JJ_INVARIANT(response != NULL);
-	set_fields(call, response, answer);
+	add_headers(call, response, answer);
 	(void)apr_thread_mutex_lock(call->lock);
 	if (call->state == CALL_READING || call->state == CALL_WAITING) {
 		call->response = response;
 		call->status = answer->status;
 		call->state = CALL_ANSWERED;
 		response = NULL;
-		resume_locked(call);
+		resume_connection(call);
 	}
 	(void)apr_thread_mutex_unlock(call->lock);
 	if (response != NULL)
@@ -274,15 +275,15 @@
 jj_http_call_begin(jj_http_call_t *call, const jj_http_answer_t *answer)
 {
 	struct MHD_Response *response = MHD_create_response_from_callback(
-	    MHD_SIZE_UNKNOWN, STREAM_BLOCK, read_stream, call, NULL);
+	    MHD_SIZE_UNKNOWN, STREAM_BLOCK_BYTES, read_stream, call, NULL);
 
 	JJ_INVARIANT(response != NULL);
-	set_fields(call, response, answer);
+	add_headers(call, response, answer);
 	(void)apr_thread_mutex_lock(call->lock);
 	call->response = response;
 	call->status = answer->status;
 	call->state = CALL_STREAMING;
-	resume_locked(call);
+	resume_connection(call);
 	(void)apr_thread_mutex_unlock(call->lock);
 }
 
@@ -293,11 +294,11 @@
 	bool taken = true;
 
 	(void)apr_thread_mutex_lock(call->lock);
-	if (call->gone || call->finished) {
+	if (call->disconnected || call->finished) {
 		taken = true;
 	} else if (!must &&
 	    call->buffer_size >= call->server->limits.stream_bytes) {
-		call->full = true;
+		call->report_writable = true;
 		taken = false;
 	} else {
 		if (call->buffer_start > 0) {
@@ -305,11 +306,11 @@
 			    call->buffer_size);
 			call->buffer_start = 0;
 		}
-		grow(&call->buffer, &call->buffer_room,
+		ensure_capacity(&call->buffer, &call->buffer_capacity,
 		    call->buffer_size + size);
 		memcpy(call->buffer + call->buffer_size, data, size);
 		call->buffer_size += size;
-		resume_locked(call);
+		resume_connection(call);
 	}
 	(void)apr_thread_mutex_unlock(call->lock);
 	return taken;
@@ -318,26 +319,26 @@
 bool
 jj_http_call_has_room(jj_http_call_t *call)
 {
-	bool room;
+	bool writable;
 
 	(void)apr_thread_mutex_lock(call->lock);
-	room =
-	    call->gone || call->buffer_size < call->server->limits.stream_bytes;
-	if (!room)
-		call->full = true;
+	writable = call->disconnected ||
+	    call->buffer_size < call->server->limits.stream_bytes;
+	if (!writable)
+		call->report_writable = true;
 	(void)apr_thread_mutex_unlock(call->lock);
-	return room;
+	return writable;
 }
 
 bool
 jj_http_call_is_gone(jj_http_call_t *call)
 {
-	bool gone;
+	bool disconnected;
 
 	(void)apr_thread_mutex_lock(call->lock);
-	gone = call->gone;
+	disconnected = call->disconnected;
 	(void)apr_thread_mutex_unlock(call->lock);
-	return gone;
+	return disconnected;
 }
 
 void
@@ -346,7 +347,7 @@
 	(void)apr_thread_mutex_lock(call->lock);
 	call->state = CALL_ENDED;
 	call->broken = broken;
-	resume_locked(call);
+	resume_connection(call);
 	(void)apr_thread_mutex_unlock(call->lock);
 	jj_http_call_release(call);
 }
@@ -355,7 +356,7 @@
 jj_http_call_continue(jj_http_call_t *call)
 {
 	(void)apr_thread_mutex_lock(call->lock);
-	resume_locked(call);
+	resume_connection(call);
 	(void)apr_thread_mutex_unlock(call->lock);
 }
 
@@ -381,7 +382,10 @@
 	free(call);
 }
 
-/** libmicrohttpd calls this for the head, each piece, the end, a resume. */
+/**
+ * libmicrohttpd calls this after the request's headers, for each piece of the
+ * body, after its end, and after the connection was resumed.
+ */
 static enum MHD_Result
 handle(void *ctx, struct MHD_Connection *connection, const char *url,
     const char *method, const char *version, const char *data, size_t *size,
@@ -394,20 +398,20 @@
 	(void)connection;
 	if (call->path == NULL)
 		return begin_call(call, url, method);
-	if (call->gone)
+	if (call->disconnected)
 		return MHD_NO;
 	if (*size > 0 && call->state == CALL_READING)
-		return call->is_upload ? take_upload(call, data, size)
-				       : take_body(call, data, size);
+		return call->is_upload ? pass_upload(call, data, size)
+				       : collect_body(call, data, size);
 	if (*size > 0) {
-		/* Answered before its end: what follows is thrown away. */
+		/* Answered before the body ended: discard the rest of it. */
 		*size = 0;
 		return MHD_YES;
 	}
-	return go_on(call);
+	return continue_call(call);
 }
 
-/** Called with the request line's URI before anything of it is decoded. */
+/** Called with the URI of the request line before it is decoded. */
 static void *
 prepare_call(void *ctx, const char *uri, struct MHD_Connection *connection)
 {
@@ -424,7 +428,7 @@
 	atomic_init(&call->references, 1);
 	(void)atomic_fetch_add(&server->open_count, 1);
 	(void)apr_thread_mutex_lock(server->lock);
-	TAILQ_INSERT_TAIL(&server->open, call, link);
+	TAILQ_INSERT_TAIL(&server->open_calls, call, link);
 	(void)apr_thread_mutex_unlock(server->lock);
 	return call;
 }
@@ -442,18 +446,18 @@
 }
 
 static enum MHD_Result
-take_header(
+pass_header(
     void *ctx, enum MHD_ValueKind kind, const char *name, const char *value)
 {
-	header_taker_t *taker = ctx;
+	header_callback_t *callback = ctx;
 
 	(void)kind;
-	taker->take(taker->ctx, name, value != NULL ? value : "");
+	callback->take(callback->ctx, name, value != NULL ? value : "");
 	return MHD_YES;
 }
 
 static enum MHD_Result
-take_body(jj_http_call_t *call, const char *data, size_t *size)
+collect_body(jj_http_call_t *call, const char *data, size_t *size)
 {
 	size_t limit = call->server->limits.body_bytes;
 
@@ -464,7 +468,8 @@
 		return call->dropped > limit * OVERSIZE_FACTOR ? MHD_NO
 							       : MHD_YES;
 	}
-	grow(&call->body.data, &call->body_room, call->body.size + *size + 1);
+	ensure_capacity(&call->body.data, &call->body_capacity,
+	    call->body.size + *size + 1);
 	memcpy(call->body.data + call->body.size, data, *size);
 	call->body.size += *size;
 	call->body.data[call->body.size] = '\0';
@@ -473,19 +478,19 @@
 }
 
 static enum MHD_Result
-take_upload(jj_http_call_t *call, const char *data, size_t *size)
+pass_upload(jj_http_call_t *call, const char *data, size_t *size)
 {
 	const jj_http_port_t *port = &call->server->port;
 	size_t taken;
 
-	if (!call->begun) {
-		call->begun = true;
+	if (!call->passed_to_port) {
+		call->passed_to_port = true;
 		jj_http_call_hold(call);
 	}
 	/*
-	 * Suspended before the port looks: a continue that comes while it
-	 * looks must find the connection suspended, or it would be lost and
-	 * the upload would stand still.
+	 * Suspend before calling the port: jj_http_call_continue may run on
+	 * another thread during the call. If it found the connection not
+	 * suspended, it would have no effect and the upload would stall.
 	 */
 	(void)apr_thread_mutex_lock(call->lock);
 	MHD_suspend_connection(call->connection);
@@ -494,7 +499,7 @@
 	taken = port->on_upload(port->ctx, call, data, *size);
 	if (taken > 0) {
 		(void)apr_thread_mutex_lock(call->lock);
-		resume_locked(call);
+		resume_connection(call);
 		(void)apr_thread_mutex_unlock(call->lock);
 	}
 	*size -= taken;
@@ -503,7 +508,7 @@
 
 /** The body is complete, or the connection was resumed. */
 static enum MHD_Result
-go_on(jj_http_call_t *call)
+continue_call(jj_http_call_t *call)
 {
 	const jj_http_port_t *port = &call->server->port;
 	struct MHD_Response *response = NULL;
@@ -519,14 +524,14 @@
 			call->state = CALL_WAITING;
 		(void)apr_thread_mutex_unlock(call->lock);
 		if (first) {
-			if (!call->begun)
+			if (!call->passed_to_port)
 				jj_http_call_hold(call);
-			call->begun = true;
+			call->passed_to_port = true;
 			port->on_request(port->ctx, call);
 		}
 	}
 	(void)apr_thread_mutex_lock(call->lock);
-	if (call->gone) {
+	if (call->disconnected) {
 		result = MHD_NO;
 	} else if (call->state == CALL_WAITING) {
 		call->suspended = true;
@@ -559,13 +564,13 @@
 }
 
 static void
-completed(void *ctx, struct MHD_Connection *connection, void **memory,
+on_completed(void *ctx, struct MHD_Connection *connection, void **memory,
     enum MHD_RequestTerminationCode code)
 {
 	jj_http_server_t *server = ctx;
 	jj_http_call_t *call = *memory;
 	bool unfinished;
-	bool told;
+	bool notified;
 
 	(void)connection;
 	(void)code;
@@ -573,43 +578,43 @@
 		return;
 	*memory = NULL;
 	(void)apr_thread_mutex_lock(server->lock);
-	TAILQ_REMOVE(&server->open, call, link);
+	TAILQ_REMOVE(&server->open_calls, call, link);
 	(void)apr_thread_mutex_unlock(server->lock);
 	(void)apr_thread_mutex_lock(call->lock);
-	told = call->gone;
+	notified = call->disconnected;
 	call->finished = true;
-	call->gone = true;
-	unfinished = call->begun && call->state != CALL_ANSWERED &&
+	call->disconnected = true;
+	unfinished = call->passed_to_port && call->state != CALL_ANSWERED &&
 	    call->state != CALL_ENDED;
 	(void)apr_thread_mutex_unlock(call->lock);
-	if (unfinished && !told && server->port.on_gone != NULL)
+	if (unfinished && !notified && server->port.on_gone != NULL)
 		server->port.on_gone(server->port.ctx, call);
 	(void)atomic_fetch_sub(&server->open_count, 1);
 	jj_http_call_release(call);
 }
 
 static ssize_t
-read_stream(void *ctx, uint64_t position, char *target, size_t room)
+read_stream(void *ctx, uint64_t position, char *target, size_t size)
 {
 	jj_http_call_t *call = ctx;
 	const jj_http_port_t *port = &call->server->port;
 	ssize_t result = 0;
-	bool has_room = false;
+	bool writable = false;
 
 	(void)position;
 	(void)apr_thread_mutex_lock(call->lock);
 	if (call->buffer_size > 0) {
-		if (room > call->buffer_size)
-			room = call->buffer_size;
-		memcpy(target, call->buffer + call->buffer_start, room);
-		call->buffer_start += room;
-		call->buffer_size -= room;
-		result = (ssize_t)room;
-		has_room = call->full &&
+		if (size > call->buffer_size)
+			size = call->buffer_size;
+		memcpy(target, call->buffer + call->buffer_start, size);
+		call->buffer_start += size;
+		call->buffer_size -= size;
+		result = (ssize_t)size;
+		writable = call->report_writable &&
 		    call->buffer_size < call->server->limits.stream_bytes / 2;
-		if (has_room)
-			call->full = false;
-	} else if (call->gone) {
+		if (writable)
+			call->report_writable = false;
+	} else if (call->disconnected) {
 		result = MHD_CONTENT_READER_END_WITH_ERROR;
 	} else if (call->state == CALL_ENDED) {
 		result = call->broken ? MHD_CONTENT_READER_END_WITH_ERROR
@@ -619,14 +624,14 @@
 		MHD_suspend_connection(call->connection);
 	}
 	(void)apr_thread_mutex_unlock(call->lock);
-	if (has_room && port->on_room != NULL)
+	if (writable && port->on_room != NULL)
 		port->on_room(port->ctx, call);
 	return result;
 }
 
-/** Lets the connection go on; the call's lock is held. */
+/** Resumes a suspended connection; the call's lock is held. */
 static void
-resume_locked(jj_http_call_t *call)
+resume_connection(jj_http_call_t *call)
 {
 	if (!call->suspended || call->finished)
 		return;
@@ -635,10 +640,11 @@
 }
 
 static void
-set_fields(const jj_http_call_t *call, struct MHD_Response *response,
+add_headers(const jj_http_call_t *call, struct MHD_Response *response,
     const jj_http_answer_t *answer)
 {
-	size_t room = call->server->limits.header_bytes / HEAD_PART;
+	size_t free_bytes =
+	    call->server->limits.header_bytes / EXTRA_HEADERS_DIVISOR;
 	size_t i;
 
 	if (answer->content_type != NULL)
@@ -650,26 +656,29 @@
 		(void)MHD_add_response_header(
 		    response, answer->fields[i].name, answer->fields[i].value);
 	}
-	/* A head that libmicrohttpd has no memory for ends the connection. */
+	/*
+	 * libmicrohttpd closes the connection if its memory does not hold the
+	 * headers: leave out those that exceed the limit.
+	 */
 	for (i = 0; i < answer->more_count; i++) {
 		size_t size = strlen(answer->more[i].name) +
-		    strlen(answer->more[i].value) + HEADER_FRAME;
+		    strlen(answer->more[i].value) + HEADER_LINE_OVERHEAD;
 
-		if (size > room)
+		if (size > free_bytes)
 			continue;
-		room -= size;
+		free_bytes -= size;
 		(void)MHD_add_response_header(
 		    response, answer->more[i].name, answer->more[i].value);
 	}
 }
 
 /**
- * Looks for callers that hung up while they wait: a suspended connection is
- * not polled, so without this a vanished caller would hold its place at a
- * backend server until the answer is written.
+ * Detects callers that disconnect while they wait. libmicrohttpd does not poll
+ * a suspended connection, so without this check the call would keep its request
+ * slot at a backend server until the answer is written.
  */
 static void *APR_THREAD_FUNC
-sweep(apr_thread_t *thread, void *argument)
+run_disconnect_checks(apr_thread_t *thread, void *argument)
 {
 	jj_http_server_t *server = argument;
 	jj_http_call_t *closed;
@@ -677,25 +686,25 @@
 
 	(void)thread;
 	while (!stopping) {
-		jj_runtime_wait(server->waker, SWEEP_MS);
-		while ((closed = find_closed(server, &stopping)) != NULL)
-			tell_gone(server, closed);
+		jj_runtime_wait(server->waker, DISCONNECT_CHECK_MS);
+		while ((closed = find_disconnected(server, &stopping)) != NULL)
+			notify_disconnect(server, closed);
 	}
 	return NULL;
 }
 
-/** A call whose caller hung up, held, or NULL when there is no other. */
+/** A call whose caller disconnected, with a reference; NULL: none left. */
 static jj_http_call_t *
-find_closed(jj_http_server_t *server, bool *stopping)
+find_disconnected(jj_http_server_t *server, bool *stopping)
 {
 	jj_http_call_t *call = NULL;
 
 	(void)apr_thread_mutex_lock(server->lock);
 	*stopping = server->stopping;
 	if (!*stopping) {
-		TAILQ_FOREACH(call, &server->open, link)
+		TAILQ_FOREACH(call, &server->open_calls, link)
 		{
-			if (is_closed(call))
+			if (detect_disconnect(call))
 				break;
 		}
 	}
@@ -706,26 +715,26 @@
 }
 
 static void
-tell_gone(jj_http_server_t *server, jj_http_call_t *call)
+notify_disconnect(jj_http_server_t *server, jj_http_call_t *call)
 {
 	if (server->port.on_gone != NULL)
 		server->port.on_gone(server->port.ctx, call);
 	(void)apr_thread_mutex_lock(call->lock);
-	resume_locked(call);
+	resume_connection(call);
 	(void)apr_thread_mutex_unlock(call->lock);
 	jj_http_call_release(call);
 }
 
-/** True once, when a suspended call's connection was closed by its caller. */
+/** Detects that the caller of a suspended call disconnected; true only once. */
 static bool
-is_closed(jj_http_call_t *call)
+detect_disconnect(jj_http_call_t *call)
 {
 	const union MHD_ConnectionInfo *info;
 	bool closed = false;
 	char byte;
 
 	(void)apr_thread_mutex_lock(call->lock);
-	if (call->suspended && !call->gone && call->begun &&
+	if (call->suspended && !call->disconnected && call->passed_to_port &&
 	    (call->state == CALL_WAITING || call->state == CALL_STREAMING)) {
 		info = MHD_get_connection_info(
 		    call->connection, MHD_CONNECTION_INFO_CONNECTION_FD);
@@ -733,7 +742,7 @@
 		    recv(info->connect_fd, &byte, 1, MSG_PEEK | MSG_DONTWAIT) ==
 			0;
 		if (closed)
-			call->gone = true;
+			call->disconnected = true;
 	}
 	(void)apr_thread_mutex_unlock(call->lock);
 	return closed;
@@ -755,12 +764,12 @@
 }
 
 static void
-grow(char **memory, size_t *room, size_t needed)
+ensure_capacity(char **memory, size_t *capacity, size_t needed)
 {
-	if (needed <= *room)
+	if (needed <= *capacity)
 		return;
-	*room = needed + *room + 256;
-	*memory = jj_realloc(*memory, *room);
+	*capacity = needed + *capacity + 256;
+	*memory = jj_realloc(*memory, *capacity);
 }
 
 static jj_http_server_t *
@@ -771,7 +780,7 @@
 
 	server->port = *port;
 	server->limits = *limits;
-	TAILQ_INIT(&server->open);
+	TAILQ_INIT(&server->open_calls);
 	atomic_init(&server->references, 1);
 	server->pool = jj_runtime_create_pool();
 	server->lock = jj_runtime_create_mutex(server->pool);
@@ -781,9 +790,9 @@
 }
 
 /**
- * Guards against a call that is answered after the server's end: the loops
- * stop after the server, and an answer of theirs takes the call's lock, which
- * lies in the server's pool. So the last call ends the pool.
+ * Drops a reference; the last one frees the server. Guards against a call that
+ * is answered after jj_http_server_destroy: the loops stop after the server,
+ * and answering takes the call's lock, which is in the server's pool.
  */
 static void
 release_server(jj_http_server_t *server)
--- a/tests/adapters/http_client_test.cc
+++ b/tests/adapters/http_client_test.cc
@@ -1,6 +1,6 @@
 /**
  * @file http_client_test.cc
- * @brief How requests end, one by one and beside others that wait.
+ * @brief Results of single requests, and of requests while others wait.
  */
 #include <chrono>
 #include <condition_variable>
@@ -16,16 +16,16 @@
 namespace
 {
 
-/** Far beyond what anything here takes, ms. */
+/** Time limit, ms; far above what any test here takes. */
 constexpr int LIMIT_MS = 20000;
 
-/** What came of a request. */
+/** Collects the data and the result of a request. */
 class Outcome
 {
       public:
 	std::string data;
-	bool pauses = false; /**< takes nothing until this is off */
-	int offers = 0; /**< of bytes that were not taken */
+	bool paused = false; /**< on_data consumes nothing */
+	int refusals = 0; /**< calls of on_data that consumed nothing */
 
 	jj_http_request_t
 	describe(const std::string &address, jj_ms_t timeout_ms)
@@ -42,7 +42,7 @@
 		request.on_end = on_end;
 		return request;
 	}
-	/** How it ended, within the limit. */
+	/** Waits for the end, up to the limit, and returns the result. */
 	jj_http_end_t
 	wait()
 	{
@@ -53,22 +53,22 @@
 			[this] { return ended; }));
 		return end;
 	}
-	/** Until so many bytes were taken, or offered in vain. */
+	/** Waits for at least so many bytes and so many refused calls. */
 	bool
-	wait_for(size_t size, int vain = 0)
+	wait_for(size_t size, int refused = 0)
 	{
 		std::unique_lock<std::mutex> guard(lock);
 
 		return changed.wait_for(guard,
 		    std::chrono::milliseconds(LIMIT_MS),
-		    [&] { return data.size() >= size && offers >= vain; });
+		    [&] { return data.size() >= size && refusals >= refused; });
 	}
 	void
-	set_pauses(bool on)
+	set_paused(bool on)
 	{
 		std::lock_guard<std::mutex> guard(lock);
 
-		pauses = on;
+		paused = on;
 	}
 
       private:
@@ -83,11 +83,11 @@
 		auto *self = static_cast<Outcome *>(ctx);
 		std::lock_guard<std::mutex> guard(self->lock);
 
-		self->offers += self->pauses;
-		if (!self->pauses)
+		self->refusals += self->paused;
+		if (!self->paused)
 			self->data.append(bytes, size);
 		self->changed.notify_all();
-		return self->pauses ? JJ_HTTP_PAUSE : JJ_HTTP_TAKEN;
+		return self->paused ? JJ_HTTP_PAUSE : JJ_HTTP_TAKEN;
 	}
 	static void
 	on_end(void *ctx, jj_http_end_t how, const jj_http_head_t *)
@@ -102,7 +102,7 @@
 };
 
 void
-say(int fd, const std::string &text)
+send_text(int fd, const std::string &text)
 {
 	EXPECT_EQ(static_cast<ssize_t>(text.size()),
 	    send(fd, text.data(), text.size(), MSG_NOSIGNAL));
@@ -129,14 +129,14 @@
 	}
 };
 
-/* "Not sent" is a promise that nothing ran: said only without a connection. */
+/* NOT_SENT promises that the request did not run: no connection was made. */
 TEST_F(HttpClient, SaysHowARequestEnded)
 {
 	const std::string head = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n";
 	struct {
 		const char *name;
 		bool listens;
-		std::string says;
+		std::string answer;
 		bool closes;
 		jj_ms_t timeout_ms;
 		jj_http_end_t end;
@@ -159,7 +159,7 @@
 		    one.timeout_ms);
 		if (one.listens) {
 			ASSERT_TRUE(server.accept_one(LIMIT_MS)) << one.name;
-			say(server.last(), one.says);
+			send_text(server.last(), one.answer);
 			if (one.closes)
 				(void)shutdown(server.last(), SHUT_RDWR);
 		}
@@ -168,29 +168,30 @@
 }
 
 /*
- * On small VMs each piece of a stream cost a look at all other open requests,
- * a tenth of their processor time in all. The client waits for sockets that
- * have news; one that has some is served, whatever the others do, and each
- * other one keeps its own time limit.
+ * On small VMs each piece of a stream caused a check of all other open
+ * requests, which took a tenth of the CPU time. The client now waits for
+ * socket events: a socket with data is served regardless of the other
+ * requests, and each of those keeps its own timeout.
  */
 TEST_F(HttpClient, AStreamGoesOnBesideRequestsThatWait)
 {
 	constexpr int WAITING = 40;
-	Mute silent;
+	Mute unresponsive;
 	Mute server;
 	Outcome stream;
 	std::vector<std::unique_ptr<Outcome>> others;
 
 	for (int i = 0; i < WAITING; i++) {
 		others.push_back(std::make_unique<Outcome>());
-		(void)start(*others.back(), silent.address,
+		(void)start(*others.back(), unresponsive.address,
 		    i % 2 == 0 ? 300 : LIMIT_MS);
 	}
 	(void)start(stream, server.address);
 	ASSERT_TRUE(server.accept_one(LIMIT_MS));
-	say(server.last(), "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\n");
+	send_text(
+	    server.last(), "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\n");
 	for (size_t i = 0; i < 6; i++) {
-		say(server.last(), "x");
+		send_text(server.last(), "x");
 		EXPECT_TRUE(stream.wait_for(i + 1)) << i;
 	}
 	EXPECT_EQ(JJ_HTTP_COMPLETE, stream.wait());
@@ -202,20 +203,21 @@
 		EXPECT_EQ(JJ_HTTP_CANCELLED, others[i]->wait()) << i;
 }
 
-/* A caller that reads slowly: what was not taken is offered again. */
+/* For slow readers: data that was not consumed is delivered again. */
 TEST_F(HttpClient, WhatWasNotTakenComesAfterAResume)
 {
 	Mute server;
 	Outcome outcome;
 	uint64_t number;
 
-	outcome.set_pauses(true);
+	outcome.set_paused(true);
 	number = start(outcome, server.address);
 	ASSERT_TRUE(server.accept_one(LIMIT_MS));
-	say(server.last(), "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nab");
+	send_text(
+	    server.last(), "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nab");
 	ASSERT_TRUE(outcome.wait_for(0, 1));
-	say(server.last(), "cd");
-	outcome.set_pauses(false);
+	send_text(server.last(), "cd");
+	outcome.set_paused(false);
 	jj_http_client_resume(client, number);
 	EXPECT_EQ(JJ_HTTP_COMPLETE, outcome.wait());
 	EXPECT_EQ("abcd", outcome.data);
--- a/tests/adapters/http_server_test.cc
+++ b/tests/adapters/http_server_test.cc
@@ -1,6 +1,6 @@
 /**
  * @file http_server_test.cc
- * @brief Calls that are answered when their server has ended already.
+ * @brief Calls answered after their server was destroyed; large heads; methods.
  */
 #include <cstring>
 #include <future>
@@ -47,11 +47,11 @@
 } // namespace
 
 /*
- * A VM is stopped at once while a request is at a backend server. The HTTP
- * server ends first, then the loops; one of them has the request's answer in
- * its queue and gives it. The call's lock belongs to the server: were it gone
- * with it, the answer would take a lock that is no more, and the stop would
- * crash or hang. The sanitizers see the lock's use after its end.
+ * A VM is stopped while a request is at a backend server. The HTTP server is
+ * destroyed first, then the loops; a loop still has the request's answer in its
+ * queue and delivers it. The call's lock belongs to the server: if it were
+ * freed with the server, taking it would crash or hang the shutdown. The
+ * sanitizers detect such a use after free.
  */
 TEST_P(AnswerAfterEnd, FindsTheCallsLock)
 {
@@ -83,7 +83,7 @@
 	    return std::string(info.param.name);
     });
 
-/* Guards against an answer that is lost for the size of its head. */
+/* Guards against losing an answer because its headers are too large. */
 TEST(HttpServer, AHeadThatIsTooLargeIsAnsweredAllTheSame)
 {
 	static std::string value(200, 'v');
@@ -112,7 +112,7 @@
 	jj_http_server_destroy(server);
 }
 
-/* Guards against a request that is sent on with another method than it has. */
+/* Guards against forwarding a request with a truncated method. */
 TEST(HttpServer, AMethodIsKeptWhole)
 {
 	std::string address = free_address();
--- a/tests/adapters/loopback.h
+++ b/tests/adapters/loopback.h
@@ -1,6 +1,6 @@
 /**
  * @file loopback.h
- * @brief Plain HTTP callers on loopback, for tests of servers.
+ * @brief Plain sockets on loopback for tests of HTTP servers and clients.
  */
 #ifndef JJ_TESTS_ADAPTERS_LOOPBACK_H
 #define JJ_TESTS_ADAPTERS_LOOPBACK_H
@@ -17,7 +17,7 @@
 
 #include <gtest/gtest.h>
 
-/** An address that is free now. */
+/** An address with a port that is currently free. */
 inline std::string
 free_address()
 {
@@ -33,7 +33,7 @@
 	return "127.0.0.1:" + std::to_string(ntohs(address.sin_port));
 }
 
-/** Sends a request; the answer is read from what is returned. */
+/** Sends a request; returns the socket to read the answer from. */
 inline int
 send_request(const std::string &to,
     const std::string &text = "GET / HTTP/1.1\r\nHost: x\r\n\r\n")
@@ -52,33 +52,33 @@
 	return fd;
 }
 
-/** Reads until the text has come, or the connection ends. */
+/** Reads until the text was received or the connection was closed. */
 inline std::string
 read_until(int fd, const std::string &wanted)
 {
-	std::string got;
+	std::string received;
 	char bytes[4096];
 	ssize_t size;
 
-	while (got.find(wanted) == std::string::npos &&
+	while (received.find(wanted) == std::string::npos &&
 	    (size = recv(fd, bytes, sizeof(bytes), 0)) > 0)
-		got.append(bytes, (size_t)size);
-	return got;
+		received.append(bytes, (size_t)size);
+	return received;
 }
 
 inline std::string
 read_to_end(int fd)
 {
-	std::string got;
+	std::string received;
 	char bytes[4096];
 	ssize_t size;
 
 	while ((size = recv(fd, bytes, sizeof(bytes), 0)) > 0)
-		got.append(bytes, (size_t)size);
-	return got;
+		received.append(bytes, (size_t)size);
+	return received;
 }
 
-/** Accepts connections on loopback and says nothing on them. */
+/** Accepts connections on loopback and sends nothing by itself. */
 class Mute
 {
       public:
@@ -86,20 +86,20 @@
 
 	Mute()
 	{
-		sockaddr_in where = {};
-		socklen_t size = sizeof(where);
+		sockaddr_in bound = {};
+		socklen_t size = sizeof(bound);
 
 		listening = socket(AF_INET, SOCK_STREAM, 0);
-		where.sin_family = AF_INET;
-		where.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
+		bound.sin_family = AF_INET;
+		bound.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
 		EXPECT_EQ(0,
-		    bind(listening, reinterpret_cast<sockaddr *>(&where),
-			sizeof(where)));
+		    bind(listening, reinterpret_cast<sockaddr *>(&bound),
+			sizeof(bound)));
 		EXPECT_EQ(0, listen(listening, 64));
 		EXPECT_EQ(0,
-		    getsockname(listening, reinterpret_cast<sockaddr *>(&where),
+		    getsockname(listening, reinterpret_cast<sockaddr *>(&bound),
 			&size));
-		address = "127.0.0.1:" + std::to_string(ntohs(where.sin_port));
+		address = "127.0.0.1:" + std::to_string(ntohs(bound.sin_port));
 	}
 	~Mute()
 	{
@@ -107,7 +107,7 @@
 			(void)close(fd);
 		(void)close(listening);
 	}
-	/** True when one more connection came within the time. */
+	/** Accepts one more connection; false if none came within the time. */
 	bool
 	accept_one(int ms)
 	{
@@ -119,7 +119,7 @@
 		return accepted.back() >= 0;
 	}
 
-	/** What came last; its connection is open until the end. */
+	/** The last accepted connection; it stays open until destruction. */
 	int
 	last() const
 	{
