--- a/src/adapters/neighbours.c
+++ b/src/adapters/neighbours.c
@@ -1,6 +1,6 @@
 /**
  * @file neighbours.c
- * @brief Messages between VMs of ours over ZeroMQ.
+ * @brief Messages between the VMs of a deployment, over ZeroMQ.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -20,39 +20,38 @@
 #include "adapters/wire.h"
 
 /*
- * High-water marks: a neighbour that is slow for more than this many
- * messages loses the next ones; heartbeats and resends make up for it, and
- * memory stays bounded.
+ * High-water marks, in messages, to bound memory. Further messages to a slow
+ * neighbour are dropped; later heartbeats and resends replace them.
  */
 #define SEND_HIGH_WATER 2000
 #define RECEIVE_HIGH_WATER 20000
-/** First and longest wait between connection attempts, milliseconds. */
+/** First and longest interval of connection attempts, milliseconds. */
 #define RECONNECT_MS 50
-#define RECONNECT_MOST_MS 200
+#define RECONNECT_MAX_MS 200
 /**
- * A connection that is not open after so long is tried again, ms: it opens
- * within some ms, and the system's own second try comes after a second.
+ * Connect timeout before the next attempt, ms. Connecting usually takes a few
+ * ms; the kernel retransmits the first SYN only after a second.
  */
-#define CONNECT_MS 300
+#define CONNECT_TIMEOUT_MS 300
 /**
- * A connection that gets no acknowledgement or no greeting for so long is
- * opened anew, ms. Guards against a cut without a
- * word: the system's own retransmissions come more and more rarely, so that
- * VMs miss each other for seconds after the cut has ended, take each other's
- * jobs over and fill servers twice. Two heartbeats.
+ * A connection without a TCP acknowledgement or without the ZeroMQ handshake
+ * for this long is reopened, ms; two heartbeat intervals. Guards against a
+ * partition that drops packets silently: TCP retransmits at growing intervals,
+ * so VMs would stay unreachable for seconds after it has ended, take over each
+ * other's jobs and load servers twice.
  */
-#define SILENT_CONNECTION_MS 1000
-/** Longest wait of the thread without an event, ms. */
+#define UNACKNOWLEDGED_MAX_MS 1000
+/** Longest wait of the thread, ms. */
 #define POLL_MS 1000
 /**
- * Most VMs that messages go to. libzmq opens 1,023 sockets; one that is closed
- * counts for some time more.
+ * Maximum number of open connections. libzmq allows 1,023 sockets, and a closed
+ * one still counts for some time.
  */
 #define CONNECTIONS_MAX 900
-/** Between log lines of messages that are too large, ms. */
+/** Minimum interval of log lines about too large messages, ms. */
 #define TOO_LARGE_LOG_MS 10000
-/** Messages taken in one turn, so that sending is not starved. */
-#define TURN_MAX 256
+/** Messages received per round, so that sending is not starved. */
+#define RECEIVE_BATCH_MAX 256
 
 typedef struct outgoing {
 	STAILQ_ENTRY(outgoing) link;
@@ -65,7 +64,7 @@
 typedef struct {
 	void *socket;
 	char address[JJ_NAME_MAX + 1];
-	uint64_t used; /**< number of the last message to it */
+	uint64_t last_use; /**< value of uses at the last message to it */
 } connection_t;
 
 struct jj_neighbours {
@@ -74,15 +73,16 @@
 	int wakeup;
 	apr_pool_t *pool;
 	apr_thread_t *thread;
-	apr_thread_mutex_t *lock; /**< guards outgoing, cut, counts, stopping */
+	/** Guards outgoing, partitioned, counts, too_large_logged_ms, stopping. */
+	apr_thread_mutex_t *lock;
 	STAILQ_HEAD(, outgoing) outgoing;
-	GHashTable *cut;
+	GHashTable *partitioned; /**< names of VMs, for failure tests */
 	jj_neighbours_counts_t counts;
-	jj_ms_t too_large_ms; /**< when one was logged last */
+	jj_ms_t too_large_logged_ms; /**< time of the last such log line */
 	bool stopping;
-	GHashTable *connections; /**< by name; the thread's own */
-	uint64_t uses; /**< of connections, so far */
-	int gather_ms;
+	GHashTable *connections; /**< by name; used by the thread only */
+	uint64_t uses; /**< counts uses of connections, for LRU eviction */
+	int receive_pause_ms;
 	jj_neighbours_take_t take;
 	void *ctx;
 };
@@ -90,43 +90,43 @@
 static void set_kind_totals(jj_message_kind_t, const jj_neighbours_counts_t *);
 static void drop_too_large(jj_neighbours_t *, const char *, jj_message_kind_t);
 static void *APR_THREAD_FUNC run(apr_thread_t *, void *);
-static bool wait_some(jj_neighbours_t *, bool, long);
-static bool send_all(jj_neighbours_t *);
+static bool wait_for_messages(jj_neighbours_t *, bool, long);
+static bool send_queued(jj_neighbours_t *);
 static void send_one(jj_neighbours_t *, const outgoing_t *);
-static void *connection_to(jj_neighbours_t *, const outgoing_t *);
-static void drop_oldest(jj_neighbours_t *);
-static void receive_some(jj_neighbours_t *);
+static void *find_connection(jj_neighbours_t *, const outgoing_t *);
+static void close_least_recent(jj_neighbours_t *);
+static void receive_batch(jj_neighbours_t *);
 static void receive_one(jj_neighbours_t *, zmq_msg_t *);
-static void free_connection(void *);
-static bool is_cut(jj_neighbours_t *, const char *);
+static void close_connection(void *);
+static bool is_partitioned(jj_neighbours_t *, const char *);
 static void set_option(void *, int, int);
 
 jj_neighbours_t *
-jj_neighbours_create(
-    const char *address, int gather_ms, jj_neighbours_take_t take, void *ctx)
+jj_neighbours_create(const char *address, int receive_pause_ms,
+    jj_neighbours_take_t take, void *ctx)
 {
 	jj_neighbours_t *neighbours = jj_alloc(sizeof(*neighbours));
 	char endpoint[JJ_NAME_MAX + 16];
-	/* A larger message ends its connection: all that is sent must fit. */
-	int64_t most = JJ_WIRE_BYTES_MAX;
+	/* libzmq closes the connection on a larger message: senders check. */
+	int64_t max_bytes = JJ_WIRE_BYTES_MAX;
 
-	neighbours->gather_ms = gather_ms;
+	neighbours->receive_pause_ms = receive_pause_ms;
 	neighbours->take = take;
 	neighbours->ctx = ctx;
 	STAILQ_INIT(&neighbours->outgoing);
 	neighbours->pool = jj_runtime_create_pool();
 	neighbours->lock = jj_runtime_create_mutex(neighbours->pool);
-	neighbours->cut =
+	neighbours->partitioned =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 	neighbours->connections = g_hash_table_new_full(
-	    g_str_hash, g_str_equal, g_free, free_connection);
+	    g_str_hash, g_str_equal, g_free, close_connection);
 	neighbours->wakeup = eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC);
 	neighbours->context = zmq_ctx_new();
 	neighbours->pull = zmq_socket(neighbours->context, ZMQ_PULL);
 	set_option(neighbours->pull, ZMQ_RCVHWM, RECEIVE_HIGH_WATER);
 	set_option(neighbours->pull, ZMQ_LINGER, 0);
 	(void)zmq_setsockopt(
-	    neighbours->pull, ZMQ_MAXMSGSIZE, &most, sizeof(most));
+	    neighbours->pull, ZMQ_MAXMSGSIZE, &max_bytes, sizeof(max_bytes));
 	(void)snprintf(endpoint, sizeof(endpoint), "tcp://%s", address);
 	if (zmq_bind(neighbours->pull, endpoint) != 0)
 		goto out;
@@ -141,7 +141,7 @@
 	(void)zmq_ctx_term(neighbours->context);
 	(void)close(neighbours->wakeup);
 	g_hash_table_destroy(neighbours->connections);
-	g_hash_table_destroy(neighbours->cut);
+	g_hash_table_destroy(neighbours->partitioned);
 	apr_pool_destroy(neighbours->pool);
 	free(neighbours);
 	return NULL;
@@ -168,7 +168,7 @@
 		jj_bytes_free(&outgoing->bytes);
 		free(outgoing);
 	}
-	g_hash_table_destroy(neighbours->cut);
+	g_hash_table_destroy(neighbours->partitioned);
 	apr_pool_destroy(neighbours->pool);
 	free(neighbours);
 }
@@ -195,19 +195,20 @@
 	was_empty = STAILQ_EMPTY(&neighbours->outgoing);
 	STAILQ_INSERT_TAIL(&neighbours->outgoing, outgoing, link);
 	(void)apr_thread_mutex_unlock(neighbours->lock);
-	/* A round goes to dozens of VMs: the thread is woken for the first. */
+	/* Messages to dozens of VMs are posted in a row: wake the thread once. */
 	if (was_empty)
 		(void)eventfd_write(neighbours->wakeup, 1);
 }
 
 void
-jj_neighbours_cut(jj_neighbours_t *neighbours, const char *name, bool cut)
+jj_neighbours_cut(
+    jj_neighbours_t *neighbours, const char *name, bool partitioned)
 {
 	(void)apr_thread_mutex_lock(neighbours->lock);
-	if (cut)
-		(void)g_hash_table_add(neighbours->cut, g_strdup(name));
+	if (partitioned)
+		(void)g_hash_table_add(neighbours->partitioned, g_strdup(name));
 	else
-		(void)g_hash_table_remove(neighbours->cut, name);
+		(void)g_hash_table_remove(neighbours->partitioned, name);
 	(void)apr_thread_mutex_unlock(neighbours->lock);
 }
 
@@ -248,39 +249,42 @@
 		set_kind_totals((jj_message_kind_t)kind, &counts);
 }
 
-/** Only of kinds that were sent: most VMs send few of them. */
+/** Only for kinds that were sent: most VMs send few of them. */
 static void
 set_kind_totals(jj_message_kind_t kind, const jj_neighbours_counts_t *counts)
 {
 	const char *name = jj_message_kind_name(kind);
 
-	if (counts->kind_sent[kind] == 0)
+	if (counts->sent_by_kind[kind] == 0)
 		return;
 	jj_counter_set(jj_metrics_counter("jujube_messages_by_kind_total",
 			   "Messages to other VMs, by kind.", "kind", name),
-	    counts->kind_sent[kind]);
+	    counts->sent_by_kind[kind]);
 	jj_counter_set(
 	    jj_metrics_counter("jujube_message_bytes_by_kind_total",
 		"Bytes of messages to other VMs, by kind.", "kind", name),
-	    counts->kind_sent_bytes[kind]);
+	    counts->sent_bytes_by_kind[kind]);
 }
 
-/** What has no encoding would arrive as an empty message and count as sent. */
+/**
+ * Counts a message that could not be encoded as dropped; it would arrive as an
+ * empty message and be counted as sent.
+ */
 static void
 drop_too_large(
     jj_neighbours_t *neighbours, const char *name, jj_message_kind_t kind)
 {
 	jj_ms_t now = jj_monotonic_now();
-	bool logs;
+	bool logged;
 
 	(void)apr_thread_mutex_lock(neighbours->lock);
 	neighbours->counts.dropped++;
-	logs = neighbours->too_large_ms == 0 ||
-	    now - neighbours->too_large_ms >= TOO_LARGE_LOG_MS;
-	if (logs)
-		neighbours->too_large_ms = now;
+	logged = neighbours->too_large_logged_ms == 0 ||
+	    now - neighbours->too_large_logged_ms >= TOO_LARGE_LOG_MS;
+	if (logged)
+		neighbours->too_large_logged_ms = now;
 	(void)apr_thread_mutex_unlock(neighbours->lock);
-	if (logs)
+	if (logged)
 		jj_log(JJ_LOG_WARN, "message_too_large",
 		    "peer=%s kind=%s most_bytes=%d", name,
 		    jj_message_kind_name(kind), JJ_WIRE_BYTES_MAX);
@@ -290,31 +294,32 @@
 run(apr_thread_t *thread, void *argument)
 {
 	jj_neighbours_t *neighbours = argument;
-	jj_ms_t open_ms = 0;
+	jj_ms_t receive_from_ms = 0;
 	jj_ms_t now;
 
 	(void)thread;
-	while (send_all(neighbours)) {
+	while (send_queued(neighbours)) {
 		now = jj_monotonic_now();
-		if (now < open_ms) {
-			(void)wait_some(
-			    neighbours, false, (long)(open_ms - now));
+		if (now < receive_from_ms) {
+			(void)wait_for_messages(
+			    neighbours, false, (long)(receive_from_ms - now));
 			continue;
 		}
-		if (wait_some(neighbours, true, POLL_MS)) {
-			receive_some(neighbours);
-			open_ms = jj_monotonic_now() + neighbours->gather_ms;
+		if (wait_for_messages(neighbours, true, POLL_MS)) {
+			receive_batch(neighbours);
+			receive_from_ms =
+			    jj_monotonic_now() + neighbours->receive_pause_ms;
 		}
 	}
 	return NULL;
 }
 
 /**
- * Waits for something to send, and for messages if they are wanted now.
- * @return true when there are messages.
+ * Waits for messages to send, and with @p receiving for received ones.
+ * @return true if there are received messages.
  */
 static bool
-wait_some(jj_neighbours_t *neighbours, bool receives, long most_ms)
+wait_for_messages(jj_neighbours_t *neighbours, bool receiving, long timeout_ms)
 {
 	zmq_pollitem_t items[2] = {
 	    {NULL, neighbours->wakeup, ZMQ_POLLIN, 0},
@@ -322,16 +327,16 @@
 	};
 	eventfd_t count;
 
-	if (zmq_poll(items, receives ? 2 : 1, most_ms) < 0)
+	if (zmq_poll(items, receiving ? 2 : 1, timeout_ms) < 0)
 		return false;
 	if (items[0].revents & ZMQ_POLLIN)
 		(void)eventfd_read(neighbours->wakeup, &count);
-	return receives && (items[1].revents & ZMQ_POLLIN) != 0;
+	return receiving && (items[1].revents & ZMQ_POLLIN) != 0;
 }
 
-/** Sends what is queued; false when the thread shall end. */
+/** Sends all queued messages; false when the thread shall stop. */
 static bool
-send_all(jj_neighbours_t *neighbours)
+send_queued(jj_neighbours_t *neighbours)
 {
 	outgoing_t *outgoing;
 	bool stopping;
@@ -357,8 +362,8 @@
 	bool sent = false;
 	void *socket;
 
-	if (!is_cut(neighbours, outgoing->name)) {
-		socket = connection_to(neighbours, outgoing);
+	if (!is_partitioned(neighbours, outgoing->name)) {
+		socket = find_connection(neighbours, outgoing);
 		sent = socket != NULL &&
 		    zmq_send(socket, outgoing->bytes.data, outgoing->bytes.size,
 			ZMQ_DONTWAIT) >= 0;
@@ -367,8 +372,8 @@
 	if (sent) {
 		neighbours->counts.sent++;
 		neighbours->counts.sent_bytes += outgoing->bytes.size;
-		neighbours->counts.kind_sent[outgoing->kind]++;
-		neighbours->counts.kind_sent_bytes[outgoing->kind] +=
+		neighbours->counts.sent_by_kind[outgoing->kind]++;
+		neighbours->counts.sent_bytes_by_kind[outgoing->kind] +=
 		    outgoing->bytes.size;
 	} else {
 		neighbours->counts.dropped++;
@@ -376,9 +381,9 @@
 	(void)apr_thread_mutex_unlock(neighbours->lock);
 }
 
-/** The socket to a VM; a VM that moved gets a new one. */
+/** The socket to a VM; a new one if its address has changed. */
 static void *
-connection_to(jj_neighbours_t *neighbours, const outgoing_t *outgoing)
+find_connection(jj_neighbours_t *neighbours, const outgoing_t *outgoing)
 {
 	connection_t *connection =
 	    g_hash_table_lookup(neighbours->connections, outgoing->name);
@@ -386,32 +391,32 @@
 
 	if (connection != NULL &&
 	    strcmp(connection->address, outgoing->address) == 0) {
-		connection->used = ++neighbours->uses;
+		connection->last_use = ++neighbours->uses;
 		return connection->socket;
 	}
 	if (connection == NULL &&
 	    g_hash_table_size(neighbours->connections) >= CONNECTIONS_MAX)
-		drop_oldest(neighbours);
+		close_least_recent(neighbours);
 	connection = jj_alloc(sizeof(*connection));
 	(void)snprintf(connection->address, sizeof(connection->address), "%s",
 	    outgoing->address);
-	connection->used = ++neighbours->uses;
+	connection->last_use = ++neighbours->uses;
 	connection->socket = zmq_socket(neighbours->context, ZMQ_PUSH);
 	set_option(connection->socket, ZMQ_SNDHWM, SEND_HIGH_WATER);
-	/* A stop must not wait for a neighbour that is away. */
+	/* Stopping must not wait for an unreachable neighbour. */
 	set_option(connection->socket, ZMQ_LINGER, 0);
-	/* Queue only to a living connection: else old news pile up. */
+	/* Queue only on an open connection: old messages would pile up. */
 	set_option(connection->socket, ZMQ_IMMEDIATE, 1);
 	set_option(connection->socket, ZMQ_RECONNECT_IVL, RECONNECT_MS);
+	set_option(connection->socket, ZMQ_RECONNECT_IVL_MAX, RECONNECT_MAX_MS);
+	set_option(connection->socket, ZMQ_CONNECT_TIMEOUT, CONNECT_TIMEOUT_MS);
 	set_option(
-	    connection->socket, ZMQ_RECONNECT_IVL_MAX, RECONNECT_MOST_MS);
-	set_option(connection->socket, ZMQ_CONNECT_TIMEOUT, CONNECT_MS);
-	set_option(connection->socket, ZMQ_HANDSHAKE_IVL, SILENT_CONNECTION_MS);
-	set_option(connection->socket, ZMQ_TCP_MAXRT, SILENT_CONNECTION_MS);
+	    connection->socket, ZMQ_HANDSHAKE_IVL, UNACKNOWLEDGED_MAX_MS);
+	set_option(connection->socket, ZMQ_TCP_MAXRT, UNACKNOWLEDGED_MAX_MS);
 	(void)snprintf(
 	    endpoint, sizeof(endpoint), "tcp://%s", outgoing->address);
 	if (zmq_connect(connection->socket, endpoint) != 0) {
-		free_connection(connection);
+		close_connection(connection);
 		return NULL;
 	}
 	(void)g_hash_table_replace(
@@ -419,9 +424,9 @@
 	return connection->socket;
 }
 
-/** The one that was not used for longest: its VM is gone. */
+/** Closes the least recently used connection: its VM has probably left. */
 static void
-drop_oldest(jj_neighbours_t *neighbours)
+close_least_recent(jj_neighbours_t *neighbours)
 {
 	const connection_t *oldest = NULL;
 	const char *name = NULL;
@@ -433,7 +438,7 @@
 	while (g_hash_table_iter_next(&at, &key, &value)) {
 		const connection_t *connection = value;
 
-		if (oldest != NULL && connection->used >= oldest->used)
+		if (oldest != NULL && connection->last_use >= oldest->last_use)
 			continue;
 		oldest = connection;
 		name = key;
@@ -442,12 +447,12 @@
 }
 
 static void
-receive_some(jj_neighbours_t *neighbours)
+receive_batch(jj_neighbours_t *neighbours)
 {
 	zmq_msg_t part;
 	int i;
 
-	for (i = 0; i < TURN_MAX; i++) {
+	for (i = 0; i < RECEIVE_BATCH_MAX; i++) {
 		(void)zmq_msg_init(&part);
 		if (zmq_msg_recv(&part, neighbours->pull, ZMQ_DONTWAIT) < 0) {
 			(void)zmq_msg_close(&part);
@@ -477,7 +482,7 @@
 		free(message);
 		return;
 	}
-	if (is_cut(neighbours, message->from.text)) {
+	if (is_partitioned(neighbours, message->from.text)) {
 		jj_message_clear(message);
 		free(message);
 		return;
@@ -486,18 +491,18 @@
 }
 
 static bool
-is_cut(jj_neighbours_t *neighbours, const char *name)
+is_partitioned(jj_neighbours_t *neighbours, const char *name)
 {
-	bool cut;
+	bool partitioned;
 
 	(void)apr_thread_mutex_lock(neighbours->lock);
-	cut = g_hash_table_contains(neighbours->cut, name);
+	partitioned = g_hash_table_contains(neighbours->partitioned, name);
 	(void)apr_thread_mutex_unlock(neighbours->lock);
-	return cut;
+	return partitioned;
 }
 
 static void
-free_connection(void *memory)
+close_connection(void *memory)
 {
 	connection_t *connection = memory;
 
--- a/src/adapters/wire.c
+++ b/src/adapters/wire.c
@@ -1,10 +1,10 @@
 /**
  * @file wire.c
- * @brief msgpack codec of messages, driven by one table of fields per kind.
+ * @brief msgpack codec of messages, driven by a table of fields per kind.
  *
- * The same table encodes and decodes, so the two cannot disagree. The codec
- * of bytes is msgpack-c's; it is only handed input whose counts were checked
- * against its length.
+ * Encoder and decoder use the same table, so they always agree. Bytes are
+ * coded by msgpack-c, which only receives input whose element counts were
+ * checked against its length.
  */
 #include <string.h>
 
@@ -23,25 +23,25 @@
 	FIELD_I32,
 	FIELD_I64,
 	FIELD_BOOL,
-	FIELD_ENUM, /**< 0 to limit */
+	FIELD_ENUM, /**< 0 to limit, inclusive */
 	FIELD_TEXT, /**< char[limit], NUL-terminated */
 	FIELD_BYTES, /**< jj_bytes_t, at most limit bytes */
 	FIELD_HASH,
-	FIELD_STRUCT, /**< of layout */
-	FIELD_ARRAY, /**< in place, at most limit of layout */
-	FIELD_LIST, /**< on the heap, at most limit of layout */
+	FIELD_STRUCT, /**< an embedded struct, of type layout */
+	FIELD_ARRAY, /**< embedded, at most limit elements of type layout */
+	FIELD_LIST, /**< like FIELD_ARRAY, but on the heap */
 } field_type_t;
 
-/** One field of a struct on the wire. */
+/** One field of an encoded struct. */
 typedef struct {
 	field_type_t type;
 	size_t offset;
 	size_t limit;
-	size_t count_offset; /**< of an array's uint32_t count */
+	size_t count_offset; /**< of the uint32_t element count of an array */
 	const struct layout *layout;
 } field_t;
 
-/** The fields of a struct in their order on the wire. */
+/** The fields of a struct, in the order of their encoding. */
 typedef struct layout {
 	size_t size; /**< of the struct, bytes */
 	size_t field_count;
@@ -52,27 +52,27 @@
 	{                                                 \
 		type, offsetof(owner, member), 0, 0, NULL \
 	}
-#define ENUM(owner, member, most)                                  \
-	{                                                          \
-		FIELD_ENUM, offsetof(owner, member), most, 0, NULL \
+#define ENUM(owner, member, max)                                  \
+	{                                                         \
+		FIELD_ENUM, offsetof(owner, member), max, 0, NULL \
 	}
 #define TEXT(owner, member)                               \
 	{                                                 \
 		FIELD_TEXT, offsetof(owner, member),      \
 		    sizeof(((owner *)0)->member), 0, NULL \
 	}
-#define BYTES(owner, member, most)                                  \
-	{                                                           \
-		FIELD_BYTES, offsetof(owner, member), most, 0, NULL \
+#define BYTES(owner, member, max)                                  \
+	{                                                          \
+		FIELD_BYTES, offsetof(owner, member), max, 0, NULL \
 	}
 #define STRUCT(owner, member, inner)                               \
 	{                                                          \
 		FIELD_STRUCT, offsetof(owner, member), 0, 0, inner \
 	}
-#define ARRAY(type, owner, member, count, most, inner)                       \
-	{                                                                    \
-		type, offsetof(owner, member), most, offsetof(owner, count), \
-		    inner                                                    \
+#define ARRAY(type, owner, member, count, max, inner)                       \
+	{                                                                   \
+		type, offsetof(owner, member), max, offsetof(owner, count), \
+		    inner                                                   \
 	}
 #define LAYOUT(name, owner, fields)    \
 	static const layout_t name = { \
@@ -83,8 +83,8 @@
 static bool pack_text(msgpack_packer *, const field_t *, const char *);
 static bool pack_bytes(msgpack_packer *, const field_t *, const jj_bytes_t *);
 static bool pack_array(msgpack_packer *, const field_t *, const char *);
-static bool check_shape(const uint8_t *, size_t);
-static bool read_head(const uint8_t *, size_t, size_t *, size_t *);
+static bool check_structure(const uint8_t *, size_t);
+static bool read_value_header(const uint8_t *, size_t, size_t *, size_t *);
 static size_t read_length(const uint8_t *, size_t);
 static bool unpack_message(const msgpack_object *, jj_message_t *);
 static bool unpack_struct(const msgpack_object *, const layout_t *, char *);
@@ -394,14 +394,14 @@
 	if (size > JJ_WIRE_BYTES_MAX)
 		return JJ_WIRE_TOO_LARGE;
 	/*
-	 * All versions begin with this byte and their number as one byte, so
-	 * that a VM of another version is told from one that sends rubbish.
+	 * All versions begin with this byte and a one-byte version number, to
+	 * distinguish a VM of another version from malformed input.
 	 */
 	if (size < 2 || bytes[0] != ENVELOPE_BYTE || bytes[1] > 0x7f)
 		return JJ_WIRE_MALFORMED;
 	if (bytes[1] != JJ_MESSAGE_VERSION)
 		return JJ_WIRE_OTHER_VERSION;
-	if (!check_shape(bytes, size))
+	if (!check_structure(bytes, size))
 		return JJ_WIRE_MALFORMED;
 	msgpack_unpacked_init(&unpacked);
 	if (msgpack_unpack_next(&unpacked, data, size, &offset) ==
@@ -432,7 +432,7 @@
 	return "unknown";
 }
 
-/* Encoding. Each function is false when a bound of message.h is broken. */
+/* Encoding. Each function returns false if a bound of message.h is exceeded. */
 
 static bool
 pack_struct(msgpack_packer *packer, const layout_t *layout, const char *owner)
@@ -450,36 +450,39 @@
 static bool
 pack_field(msgpack_packer *packer, const field_t *field, const char *owner)
 {
-	const void *place = owner + field->offset;
-	const jj_hash_t *hash = place;
+	const void *member = owner + field->offset;
+	const jj_hash_t *hash = member;
 
 	switch (field->type) {
 	case FIELD_U32:
-		return msgpack_pack_uint32(packer, *(const uint32_t *)place) ==
+		return msgpack_pack_uint32(packer, *(const uint32_t *)member) ==
 		    0;
 	case FIELD_U64:
-		return msgpack_pack_uint64(packer, *(const uint64_t *)place) ==
+		return msgpack_pack_uint64(packer, *(const uint64_t *)member) ==
 		    0;
 	case FIELD_I32:
-		return msgpack_pack_int32(packer, *(const int32_t *)place) == 0;
+		return msgpack_pack_int32(packer, *(const int32_t *)member) ==
+		    0;
 	case FIELD_I64:
-		return msgpack_pack_int64(packer, *(const int64_t *)place) == 0;
+		return msgpack_pack_int64(packer, *(const int64_t *)member) ==
+		    0;
 	case FIELD_BOOL:
-		return (*(const bool *)place ? msgpack_pack_true(packer)
-					     : msgpack_pack_false(packer)) == 0;
+		return (*(const bool *)member
+			       ? msgpack_pack_true(packer)
+			       : msgpack_pack_false(packer)) == 0;
 	case FIELD_ENUM:
-		return *(const uint32_t *)place <= field->limit &&
-		    msgpack_pack_uint32(packer, *(const uint32_t *)place) == 0;
+		return *(const uint32_t *)member <= field->limit &&
+		    msgpack_pack_uint32(packer, *(const uint32_t *)member) == 0;
 	case FIELD_TEXT:
-		return pack_text(packer, field, place);
+		return pack_text(packer, field, member);
 	case FIELD_BYTES:
-		return pack_bytes(packer, field, place);
+		return pack_bytes(packer, field, member);
 	case FIELD_HASH:
 		msgpack_pack_array(packer, 2);
 		msgpack_pack_uint64(packer, hash->low);
 		return msgpack_pack_uint64(packer, hash->high) == 0;
 	case FIELD_STRUCT:
-		return pack_struct(packer, field->layout, place);
+		return pack_struct(packer, field->layout, member);
 	case FIELD_ARRAY:
 	case FIELD_LIST:
 		return pack_array(packer, field, owner);
@@ -528,20 +531,21 @@
 /* Decoding. */
 
 /*
- * True when the bytes are one complete value of the types in use. Guards
- * against a short message that claims an array of billions: msgpack-c would
- * allocate its elements before it misses them, and the VM would run out of
- * memory. Every element takes at least one byte, so a count that the rest of
- * the input cannot hold ends the walk, and what msgpack-c then allocates is
- * a fixed multiple of the input.
+ * True if the bytes are one complete value of the types in use. Guards against
+ * a short message that declares an array of billions: msgpack-c allocates all
+ * elements before it finds them missing, and the VM would run out of memory.
+ * Every element takes at least one byte, so a count larger than the rest of the
+ * input is rejected; this bounds msgpack-c's allocations to a fixed multiple of
+ * the input.
  */
 static bool
-check_shape(const uint8_t *bytes, size_t size)
+check_structure(const uint8_t *bytes, size_t size)
 {
 	size_t pending = 1, at = 0, length, children;
 
 	while (pending > 0) {
-		if (!read_head(bytes + at, size - at, &length, &children))
+		if (!read_value_header(
+			bytes + at, size - at, &length, &children))
 			return false;
 		at += length;
 		pending += children;
@@ -553,12 +557,13 @@
 }
 
 /*
- * Reads a value's first bytes: how long it is without its elements, and how
- * many elements it has. False for types that no message uses, and when the
- * value is longer than the input.
+ * Parses the header of a value: its length without its elements, and the number
+ * of elements. False for types that no message uses, and if the value is longer
+ * than the input.
  */
 static bool
-read_head(const uint8_t *bytes, size_t size, size_t *length, size_t *children)
+read_value_header(
+    const uint8_t *bytes, size_t size, size_t *length, size_t *children)
 {
 	uint8_t head = size > 0 ? bytes[0] : 0;
 	size_t width;
@@ -599,7 +604,7 @@
 	return *length <= size;
 }
 
-/* A big-endian number of `width` bytes. */
+/* Reads a big-endian number of `width` bytes. */
 static size_t
 read_length(const uint8_t *bytes, size_t width)
 {
@@ -651,7 +656,7 @@
 static bool
 unpack_field(const msgpack_object *object, const field_t *field, char *owner)
 {
-	void *place = owner + field->offset;
+	void *member = owner + field->offset;
 
 	switch (field->type) {
 	case FIELD_U32:
@@ -659,20 +664,20 @@
 	case FIELD_I32:
 	case FIELD_I64:
 	case FIELD_ENUM:
-		return unpack_number(object, field, place);
+		return unpack_number(object, field, member);
 	case FIELD_BOOL:
 		if (object->type != MSGPACK_OBJECT_BOOLEAN)
 			return false;
-		*(bool *)place = object->via.boolean;
+		*(bool *)member = object->via.boolean;
 		return true;
 	case FIELD_TEXT:
-		return unpack_text(object, field, place);
+		return unpack_text(object, field, member);
 	case FIELD_BYTES:
-		return unpack_bytes(object, field, place);
+		return unpack_bytes(object, field, member);
 	case FIELD_HASH:
-		return unpack_hash(object, place);
+		return unpack_hash(object, member);
 	case FIELD_STRUCT:
-		return unpack_struct(object, field->layout, place);
+		return unpack_struct(object, field->layout, member);
 	case FIELD_ARRAY:
 	case FIELD_LIST:
 		return unpack_array(object, field, owner);
@@ -681,10 +686,10 @@
 }
 
 static bool
-unpack_unsigned(const msgpack_object *object, uint64_t most, uint64_t *value)
+unpack_unsigned(const msgpack_object *object, uint64_t max, uint64_t *value)
 {
 	if (object->type != MSGPACK_OBJECT_POSITIVE_INTEGER ||
-	    object->via.u64 > most)
+	    object->via.u64 > max)
 		return false;
 	*value = object->via.u64;
 	return true;
@@ -692,61 +697,62 @@
 
 static bool
 unpack_signed(
-    const msgpack_object *object, int64_t least, int64_t most, int64_t *value)
+    const msgpack_object *object, int64_t min, int64_t max, int64_t *value)
 {
 	uint64_t positive;
 
 	if (object->type == MSGPACK_OBJECT_NEGATIVE_INTEGER) {
 		*value = object->via.i64;
-		return *value >= least;
+		return *value >= min;
 	}
-	if (!unpack_unsigned(object, (uint64_t)most, &positive))
+	if (!unpack_unsigned(object, (uint64_t)max, &positive))
 		return false;
 	*value = (int64_t)positive;
 	return true;
 }
 
 static bool
-unpack_number(const msgpack_object *object, const field_t *field, char *place)
+unpack_number(const msgpack_object *object, const field_t *field, char *member)
 {
 	uint64_t number;
-	int64_t whole;
+	int64_t signed_number;
 
 	switch (field->type) {
 	case FIELD_U64:
 		return unpack_unsigned(
-		    object, UINT64_MAX, (uint64_t *)(void *)place);
+		    object, UINT64_MAX, (uint64_t *)(void *)member);
 	case FIELD_I64:
 		return unpack_signed(
-		    object, INT64_MIN, INT64_MAX, (int64_t *)(void *)place);
+		    object, INT64_MIN, INT64_MAX, (int64_t *)(void *)member);
 	case FIELD_I32:
-		if (!unpack_signed(object, INT32_MIN, INT32_MAX, &whole))
+		if (!unpack_signed(
+			object, INT32_MIN, INT32_MAX, &signed_number))
 			return false;
-		*(int32_t *)(void *)place = (int32_t)whole;
+		*(int32_t *)(void *)member = (int32_t)signed_number;
 		return true;
 	default:
 		if (!unpack_unsigned(object,
 			field->type == FIELD_ENUM ? field->limit : UINT32_MAX,
 			&number))
 			return false;
-		*(uint32_t *)(void *)place = (uint32_t)number;
+		*(uint32_t *)(void *)member = (uint32_t)number;
 		return true;
 	}
 }
 
 static bool
-unpack_text(const msgpack_object *object, const field_t *field, char *place)
+unpack_text(const msgpack_object *object, const field_t *field, char *member)
 {
 	const msgpack_object_str *text = &object->via.str;
 
 	if (object->type != MSGPACK_OBJECT_STR || text->size >= field->limit)
 		return false;
-	/* A NUL inside would make two different names look the same. */
+	/* With an embedded NUL, two different names would compare equal. */
 	if (text->size > 0 && memchr(text->ptr, '\0', text->size) != NULL)
 		return false;
 	if (text->size > 0)
-		memcpy(place, text->ptr, text->size);
-	place[text->size] = '\0';
+		memcpy(member, text->ptr, text->size);
+	member[text->size] = '\0';
 	return true;
 }
 
@@ -786,7 +792,7 @@
 		element = jj_alloc(count * field->layout->size);
 		memcpy(owner + field->offset, &element, sizeof(element));
 	}
-	/* Before the elements: on a fault all of them are freed. */
+	/* Set before decoding: on an error all elements are freed. */
 	memcpy(owner + field->count_offset, &count, sizeof(count));
 	for (i = 0; i < count; i++) {
 		if (!unpack_struct(
--- a/tests/adapters/neighbours_test.cc
+++ b/tests/adapters/neighbours_test.cc
@@ -1,6 +1,6 @@
 /**
  * @file neighbours_test.cc
- * @brief Connections between VMs, and when messages are taken.
+ * @brief Connections between VMs, batching and limits of messages.
  */
 #include <chrono>
 #include <mutex>
@@ -25,10 +25,11 @@
 }
 
 /*
- * VMs were cut off for six seconds without a word. For two seconds after the
- * cut they did not hear each other, took each other's jobs over and filled
- * the servers twice: their old connections waited for retransmissions that
- * come more and more rarely. One that is not answered is opened anew.
+ * After a network partition of six seconds that dropped packets silently, VMs
+ * received nothing from each other for two more seconds, took over each other's
+ * jobs and loaded the servers twice: their old connections waited for TCP
+ * retransmissions, whose intervals grow. A connection without an
+ * acknowledgement is reopened.
  */
 TEST(Neighbours, AConnectionWithoutAnAnswerIsOpenedAnew)
 {
@@ -48,7 +49,7 @@
 	jj_neighbours_destroy(neighbours);
 }
 
-/** When messages came, on the steady clock. */
+/** Arrival times of messages, on the steady clock. */
 struct Arrivals {
 	std::mutex lock;
 	std::vector<std::chrono::steady_clock::time_point> times;
@@ -73,10 +74,10 @@
 };
 
 /*
- * On small VMs messages of dozens of others, one at a time, took a tenth of
- * the processor more than together, and callers' requests waited for it. One that comes right
- * after another waits, with all that come meanwhile; none is lost, and the
- * VM's own messages do not wait.
+ * On small VMs, receiving the messages of dozens of VMs one at a time took a
+ * tenth of the CPU time more than in batches, and delayed callers' requests.
+ * A message that arrives right after another waits for the next batch; none is
+ * lost, and sending is not delayed.
  */
 TEST(Neighbours, MessagesAreGathered)
 {
@@ -92,7 +93,7 @@
 	jj_neighbours_t *sender;
 
 	ASSERT_NE(nullptr, receiver);
-	/* Only now, as the first one's port is free until it is bound. */
+	/* Only now: until the first port is bound, it may be returned again. */
 	own = free_address();
 	sender = jj_neighbours_create(own.c_str(), 0, Arrivals::take, &answers);
 	ASSERT_NE(nullptr, sender);
@@ -110,29 +111,29 @@
 	}
 	ASSERT_LE(1U, arrivals.count());
 	(void)usleep(2 * GATHER_MS * 1000);
-	size_t quiet = arrivals.count();
+	size_t idle = arrivals.count();
 	size_t before = answers.count();
 	jj_neighbours_send(sender, "vm-2", address.c_str(), &message);
-	for (int i = 0; i < TRIES && arrivals.count() == quiet; i++)
+	for (int i = 0; i < TRIES && arrivals.count() == idle; i++)
 		(void)usleep(1000);
 	jj_neighbours_send(sender, "vm-2", address.c_str(), &message);
 	jj_neighbours_send(sender, "vm-2", address.c_str(), &message);
 	jj_neighbours_send(receiver, "vm-1", own.c_str(), &message);
-	for (int i = 0; i < TRIES && arrivals.count() < quiet + 3; i++)
+	for (int i = 0; i < TRIES && arrivals.count() < idle + 3; i++)
 		(void)usleep(10000);
 	for (int i = 0; i < TRIES && answers.count() == before; i++)
 		(void)usleep(1000);
-	ASSERT_EQ(quiet + 3, arrivals.count());
+	ASSERT_EQ(idle + 3, arrivals.count());
 	EXPECT_LT(before, answers.count());
-	EXPECT_GT(arrivals.times[quiet + 1] - arrivals.times[quiet],
+	EXPECT_GT(arrivals.times[idle + 1] - arrivals.times[idle],
 	    std::chrono::milliseconds(GATHER_MS / 2));
 	jj_neighbours_destroy(sender);
 	jj_neighbours_destroy(receiver);
 }
 
 /*
- * A day had four times the usual bytes between domains, and no counter said
- * which messages they were. Each kind that is sent is counted by its name.
+ * On one day the traffic between failure domains was four times the usual, and
+ * no metric showed which messages caused it. Each kind sent is counted by name.
  */
 TEST(Neighbours, BytesAreCountedByKind)
 {
@@ -157,9 +158,10 @@
 		counts = jj_neighbours_counts(sender);
 	}
 	EXPECT_GT(counts.sent, 0U);
-	EXPECT_EQ(counts.sent, counts.kind_sent[JJ_MESSAGE_YIELD]);
-	EXPECT_EQ(counts.sent_bytes, counts.kind_sent_bytes[JJ_MESSAGE_YIELD]);
-	EXPECT_EQ(0U, counts.kind_sent[JJ_MESSAGE_LOAD]);
+	EXPECT_EQ(counts.sent, counts.sent_by_kind[JJ_MESSAGE_YIELD]);
+	EXPECT_EQ(
+	    counts.sent_bytes, counts.sent_bytes_by_kind[JJ_MESSAGE_YIELD]);
+	EXPECT_EQ(0U, counts.sent_by_kind[JJ_MESSAGE_LOAD]);
 	for (int kind = 1; kind < JJ_MESSAGE_KIND_END; kind++)
 		EXPECT_STRNE("none",
 		    jj_message_kind_name(static_cast<jj_message_kind_t>(kind)));
@@ -167,7 +169,7 @@
 	jj_neighbours_destroy(receiver);
 }
 
-/** Two VMs; the second one counts what comes. */
+/** Two VMs; the receiver records when messages arrive. */
 class Pair : public ::testing::Test
 {
       protected:
@@ -224,8 +226,8 @@
 	}
 };
 
-/* Guards against a large message that ends the connection at each receiver:
- * its heartbeats are lost with it, and nobody says so. */
+/* Guards against a large message for which each receiver closes the connection:
+ * heartbeats on it are lost too, without a log line. */
 TEST_F(Pair, TheLargestMessageArrives)
 {
 	connect();
@@ -235,8 +237,8 @@
 	EXPECT_TRUE(arrive(before + 2)) << arrivals.count() - before;
 }
 
-/* Guards against a VM that reaches no new one, as it has reached as many before
- * as libzmq opens sockets. */
+/* Guards against a VM that cannot connect to a new VM because connections to
+ * earlier ones use all sockets that libzmq allows. */
 TEST_F(Pair, ANewVmIsReachedAfterManyOthers)
 {
 	jj_message_t message = {};
@@ -254,7 +256,7 @@
 	EXPECT_LT(0U, arrivals.count());
 }
 
-/* Guards against a message that is too large and arrives as an empty one. */
+/* Guards against a too large message that arrives as an empty one. */
 TEST_F(Pair, AMessageBeyondTheBoundIsNotSent)
 {
 	connect();
@@ -264,8 +266,8 @@
 	send(JJ_MESSAGE_YIELD, 0);
 	EXPECT_TRUE(arrive(came + 1));
 	jj_neighbours_counts_t after = jj_neighbours_counts(sender);
-	EXPECT_EQ(before.kind_sent[JJ_MESSAGE_RELAY],
-	    after.kind_sent[JJ_MESSAGE_RELAY]);
+	EXPECT_EQ(before.sent_by_kind[JJ_MESSAGE_RELAY],
+	    after.sent_by_kind[JJ_MESSAGE_RELAY]);
 	EXPECT_EQ(0U, jj_neighbours_counts(receiver).malformed);
 }
 
--- a/tests/adapters/wire_test.cc
+++ b/tests/adapters/wire_test.cc
@@ -1,6 +1,6 @@
 /**
  * @file wire_test.cc
- * @brief Every kind of message there and back, and no harm from any bytes.
+ * @brief Round trip of each kind of message; decoding of malformed bytes.
  */
 #include <cstdlib>
 #include <cstring>
@@ -23,7 +23,7 @@
 
 #if MEASURES_MALLOC
 extern "C" void *__libc_malloc(size_t);
-/* Stands before the C library's: shows what a decode asks for. */
+/* Replaces the C library's malloc to record the largest allocation. */
 extern "C" void *
 malloc(size_t size)
 {
@@ -62,9 +62,9 @@
 }
 
 static void
-fill_loads(jj_load_t *loads, uint32_t *count, uint32_t most)
+fill_loads(jj_load_t *loads, uint32_t *count, uint32_t max)
 {
-	*count = most;
+	*count = max;
 	for (uint32_t i = 0; i < *count; i++) {
 		loads[i].server = UINT64_MAX - i;
 		loads[i].online = i;
@@ -243,7 +243,7 @@
 	[](jj_message_t *m) {
 		m->body.jobs.events = jj_bytes_from_text("{\"vms\":[]}");
 	}},
-    /* A document of the store, read and written anew, may be longer. */
+    /* Parsing and serializing a stored document again may lengthen it. */
     {"LongerConfig", JJ_MESSAGE_CONFIG,
 	[](jj_message_t *m) {
 		std::string document(2 * JJ_OBJECT_VALUE_MAX, '\0');
@@ -283,7 +283,7 @@
 {
 };
 
-/* The same table packs and unpacks: compare structs, not only bytes. */
+/* Encoder and decoder share a table: compare structs, not only bytes. */
 TEST_P(WireKind, ComesBackAsItWas)
 {
 	jj_message_t message = make_message(GetParam().kind), back;
@@ -317,15 +317,15 @@
 	    jj_wire_decode(bytes.data(), bytes.size(), &out));
 }
 
-/* Any outcome will do, as long as sanitizers stay silent. */
+/* Any outcome is accepted; the sanitizers must report nothing. */
 TEST_P(WireKind, SurvivesFlippedBits)
 {
 	std::string bytes = encode_case(GetParam());
-	size_t most = bytes.size() < 16384 ? bytes.size() : 200;
-	size_t step = most < 1024 && most == bytes.size() ? 1 : 13;
+	size_t limit = bytes.size() < 16384 ? bytes.size() : 200;
+	size_t step = limit < 1024 && limit == bytes.size() ? 1 : 13;
 	jj_message_t out;
 
-	for (size_t i = 0; i < most * 8; i += step) {
+	for (size_t i = 0; i < limit * 8; i += step) {
 		bytes[i / 8] ^= 1 << i % 8;
 		if (jj_wire_decode(bytes.data(), bytes.size(), &out) ==
 		    JJ_WIRE_OK)
@@ -413,7 +413,7 @@
 				     "a\x01\x01\x92\x01\xc6",
     10);
 
-/* [2, PROBE, "a", 1, 1, [5]] and what may be wrong with it. */
+/* [2, PROBE, "a", 1, 1, [5]] and malformed variants. */
 static const BytesCase bytes_cases[] = {
     {"Whole",
 	"\x96\x02\x02\xa1"
@@ -515,10 +515,10 @@
     [](const auto &info) { return std::string(info.param.name); });
 
 /*
- * A VM that grows by a hundred megabytes for one short message is killed for
- * its memory, with all its requests. Order of events: a neighbour (or
- * whoever reaches the port) sends a dozen bytes that claim an array of four
- * million; the decoder makes room for all of them before it misses them.
+ * A neighbour, or anyone who reaches the port, sends a dozen bytes that declare
+ * an array of four million elements. A decoder that allocates all of them
+ * before finding them missing grows by a hundred megabytes; the VM is then
+ * killed for its memory use, with all its requests.
  */
 TEST(WireFailure, ShortMessageCannotClaimMuchMemory)
 {
