--- a/src/adapters/loop.c
+++ b/src/adapters/loop.c
@@ -1,6 +1,6 @@
 /**
  * @file loop.c
- * @brief A thread that takes tasks in order and wakes when its core is due.
+ * @brief Event loop: a thread that runs posted tasks in order, and timer ticks.
  */
 #include <stdbool.h>
 #include <stdlib.h>
@@ -17,7 +17,7 @@
 	apr_pollset_t *waker;
 	STAILQ_HEAD(, jj_task) tasks;
 	bool stopping;
-	bool waiting; /**< the thread is, or is about to be, in a wait */
+	bool waiting; /**< the thread waits or is about to; needs a wake-up */
 	jj_ms_t (*next)(void *);
 	void (*tick)(void *, jj_ms_t);
 	void *ctx;
@@ -26,7 +26,7 @@
 static void *APR_THREAD_FUNC run(apr_thread_t *, void *);
 static jj_task_t *wait_for_task(jj_loop_t *, jj_ms_t, bool *);
 static void wait_unlocked(jj_loop_t *, jj_ms_t);
-static bool stop_waiting(jj_loop_t *);
+static bool clear_waiting(jj_loop_t *);
 
 jj_loop_t *
 jj_loop_create(
@@ -62,7 +62,7 @@
 		return;
 	(void)apr_thread_mutex_lock(loop->lock);
 	loop->stopping = true;
-	wake = stop_waiting(loop);
+	wake = clear_waiting(loop);
 	(void)apr_thread_mutex_unlock(loop->lock);
 	if (wake)
 		(void)apr_pollset_wakeup(loop->waker);
@@ -93,7 +93,7 @@
 
 	(void)apr_thread_mutex_lock(loop->lock);
 	STAILQ_INSERT_TAIL(&loop->tasks, task, link);
-	wake = stop_waiting(loop);
+	wake = clear_waiting(loop);
 	(void)apr_thread_mutex_unlock(loop->lock);
 	if (wake)
 		(void)apr_pollset_wakeup(loop->waker);
@@ -137,29 +137,29 @@
 }
 
 /**
- * Waits until a task is posted or the time has come. The lock is given up
- * meanwhile; a task posted before the wait has begun finds the flag set, and
- * its wake ends the wait at once.
+ * Waits until a task is posted or @p until. Releases the lock during the wait;
+ * a task posted before the wait has begun finds `waiting` set, and its wake-up
+ * ends the wait at once.
  */
 static void
 wait_unlocked(jj_loop_t *loop, jj_ms_t until)
 {
-	jj_ms_t most_ms = JJ_MS_NEVER;
+	jj_ms_t timeout_ms = JJ_MS_NEVER;
 
 	if (until != JJ_MS_NEVER)
-		most_ms = until - jj_monotonic_now();
-	if (most_ms <= 0)
+		timeout_ms = until - jj_monotonic_now();
+	if (timeout_ms <= 0)
 		return;
 	loop->waiting = true;
 	(void)apr_thread_mutex_unlock(loop->lock);
-	jj_runtime_wait(loop->waker, most_ms);
+	jj_runtime_wait(loop->waker, timeout_ms);
 	(void)apr_thread_mutex_lock(loop->lock);
 	loop->waiting = false;
 }
 
-/** True when the thread must be woken; of many posters one has to do it. */
+/** True if the thread must be woken; only for the first of several posters. */
 static bool
-stop_waiting(jj_loop_t *loop)
+clear_waiting(jj_loop_t *loop)
 {
 	bool waiting = loop->waiting;
 
--- a/src/adapters/monotonic.c
+++ b/src/adapters/monotonic.c
@@ -1,6 +1,6 @@
 /**
  * @file monotonic.c
- * @brief Reads the machine's clocks.
+ * @brief Reads the system clocks.
  */
 #include <time.h>
 
@@ -12,8 +12,9 @@
 static uint64_t read_clock(clockid_t);
 
 /*
- * CLOCK_BOOTTIME goes on while the VM is suspended. With CLOCK_MONOTONIC a
- * holder that was suspended past its lease would still count it as held.
+ * CLOCK_BOOTTIME also advances while the VM is suspended. With CLOCK_MONOTONIC
+ * a lease holder that was suspended past the lease's expiry would still
+ * consider it held.
  */
 jj_ms_t
 jj_monotonic_now(void)
--- a/src/adapters/random.c
+++ b/src/adapters/random.c
@@ -1,6 +1,6 @@
 /**
  * @file random.c
- * @brief Random numbers by getrandom(2).
+ * @brief Random numbers from getrandom(2).
  */
 #include <errno.h>
 
@@ -22,18 +22,19 @@
 jj_random_fill(void *bytes, size_t size)
 {
 	char *next = bytes;
-	ssize_t got;
+	ssize_t filled;
 
 	while (size > 0) {
-		got = getrandom(next, size, 0);
+		filled = getrandom(next, size, 0);
 		/*
-		 * Without random incarnations a replaced VM's late messages
-		 * would pass for the new one's: no start without them.
+		 * Abort without random numbers: without random incarnations,
+		 * delayed messages of a replaced VM would be accepted as
+		 * messages of the new one.
 		 */
-		JJ_INVARIANT(got > 0 || errno == EINTR);
-		if (got > 0) {
-			next += got;
-			size -= (size_t)got;
+		JJ_INVARIANT(filled > 0 || errno == EINTR);
+		if (filled > 0) {
+			next += filled;
+			size -= (size_t)filled;
 		}
 	}
 }
--- a/src/adapters/random.h
+++ b/src/adapters/random.h
@@ -8,9 +8,9 @@
 #include <stddef.h>
 #include <stdint.h>
 
-/** 64 random bits; waits for the kernel's pool right after boot. */
+/** 64 random bits; right after boot, blocks until the kernel has entropy. */
 uint64_t jj_random_u64(void);
-/** Fills @p size bytes with random ones. */
+/** Fills @p size bytes with random data. */
 void jj_random_fill(void *bytes, size_t size);
 
 #endif
--- a/src/adapters/runtime.c
+++ b/src/adapters/runtime.c
@@ -1,6 +1,6 @@
 /**
  * @file runtime.c
- * @brief What adapters and daemon take from APR: pools, locks, threads, waits.
+ * @brief APR for adapters and daemon: pools, locks, threads, timed waits.
  */
 #include <pthread.h>
 #include <stddef.h>
@@ -10,26 +10,26 @@
 #include "adapters/runtime.h"
 #include "core/types.h"
 
-/** Longest single wait, ms; its microseconds fit every type on the way. */
-#define WAIT_MOST_MS 60000
+/** Longest single wait, ms; in microseconds it fits all types used. */
+#define WAIT_MAX_MS 60000
 #define US_PER_MS 1000
 
 /*
- * The one POSIX call where APR has none: apr_initialize counts its
- * calls without a lock, and APR's own "once" needs a pool, so an APR that is
- * started.
+ * The only POSIX threads call here, as APR has no equivalent: apr_initialize
+ * counts its calls without a lock, and APR's thread-once needs a pool, which
+ * requires APR to be initialized.
  */
 static pthread_once_t apr_once = PTHREAD_ONCE_INIT;
 
-static void start_apr(void);
-static apr_thread_mutex_t *find_static(jj_static_lock_t *);
+static void initialize_apr(void);
+static apr_thread_mutex_t *find_or_create_mutex(jj_static_lock_t *);
 
 apr_pool_t *
 jj_runtime_create_pool(void)
 {
 	apr_pool_t *pool;
 
-	JJ_INVARIANT(pthread_once(&apr_once, start_apr) == 0);
+	JJ_INVARIANT(pthread_once(&apr_once, initialize_apr) == 0);
 	JJ_INVARIANT(apr_pool_create(&pool, NULL) == APR_SUCCESS);
 	return pool;
 }
@@ -76,29 +76,29 @@
 }
 
 /*
- * Guards against a wall clock that is set back: apr_thread_cond_timedwait
- * waits for a time of the wall clock, so an hour's step back would keep a
- * loop asleep, and its heartbeats and lease renewals out, for an hour. A
- * bound on each wait would not help, as the bound is by that clock too. A
- * poll's timeout is a span, which the kernel counts on the monotonic clock.
+ * Guards against a wall clock that is set back. apr_thread_cond_timedwait waits
+ * until a wall-clock time: after a step back by an hour a loop would sleep for
+ * an hour and send no heartbeats and lease renewals. Limiting each wait would
+ * not help, as the limit uses the same clock. The timeout of a poll is a
+ * duration, which the kernel measures on the monotonic clock.
  */
 void
-jj_runtime_wait(apr_pollset_t *waker, jj_ms_t most_ms)
+jj_runtime_wait(apr_pollset_t *waker, jj_ms_t timeout_ms)
 {
 	const apr_pollfd_t *unused;
 	apr_int32_t count;
 
-	if (most_ms <= 0)
+	if (timeout_ms <= 0)
 		return;
-	if (most_ms > WAIT_MOST_MS)
-		most_ms = WAIT_MOST_MS;
-	(void)apr_pollset_poll(waker, most_ms * US_PER_MS, &count, &unused);
+	if (timeout_ms > WAIT_MAX_MS)
+		timeout_ms = WAIT_MAX_MS;
+	(void)apr_pollset_poll(waker, timeout_ms * US_PER_MS, &count, &unused);
 }
 
 void
 jj_runtime_lock_static(jj_static_lock_t *lock)
 {
-	(void)apr_thread_mutex_lock(find_static(lock));
+	(void)apr_thread_mutex_lock(find_or_create_mutex(lock));
 }
 
 void
@@ -107,27 +107,27 @@
 	(void)apr_thread_mutex_unlock(atomic_load(&lock->mutex));
 }
 
-/* Never ended: a thread left over may log while the process ends. */
+/* APR is never terminated: a remaining thread may log during process exit. */
 static void
-start_apr(void)
+initialize_apr(void)
 {
 	JJ_INVARIANT(apr_initialize() == APR_SUCCESS);
 }
 
-/* Two threads may make it at once: the second one's goes away again. */
+/* If two threads create the lock at once, the second one's is destroyed. */
 static apr_thread_mutex_t *
-find_static(jj_static_lock_t *lock)
+find_or_create_mutex(jj_static_lock_t *lock)
 {
 	apr_thread_mutex_t *mutex = atomic_load(&lock->mutex);
-	apr_thread_mutex_t *found = NULL;
+	apr_thread_mutex_t *existing = NULL;
 	apr_pool_t *pool;
 
 	if (mutex != NULL)
 		return mutex;
 	pool = jj_runtime_create_pool();
 	mutex = jj_runtime_create_mutex(pool);
-	if (atomic_compare_exchange_strong(&lock->mutex, &found, mutex))
+	if (atomic_compare_exchange_strong(&lock->mutex, &existing, mutex))
 		return mutex;
 	apr_pool_destroy(pool);
-	return found;
+	return existing;
 }
--- a/src/adapters/runtime.h
+++ b/src/adapters/runtime.h
@@ -1,15 +1,14 @@
 /**
  * @file runtime.h
- * @brief What adapters and daemon take from APR: pools, locks, threads, waits.
+ * @brief APR for adapters and daemon: pools, locks, threads, timed waits.
  *
- * Each instance of a module has one pool, made with the instance and ended
- * with it, that owns its locks, threads and wakers. What comes and goes with
- * requests is on the heap (jj_alloc) instead: a pool gives nothing back before
- * its end, so in one that lives as long as the process such objects would be a
- * leak.
+ * Each instance of a module has one pool, created and destroyed with it, that
+ * owns its locks, threads and wakers. Objects per request are allocated on the
+ * heap (jj_alloc) instead: a pool frees memory only when it is destroyed, so in
+ * a pool that lives as long as the process they would leak.
  *
- * A pool itself is under no lock: only the thread that made an instance adds
- * to its pool.
+ * Pools are not thread-safe: only the thread that created an instance allocates
+ * from its pool.
  */
 #ifndef JJ_ADAPTERS_RUNTIME_H
 #define JJ_ADAPTERS_RUNTIME_H
@@ -23,33 +22,34 @@
 
 #include "core/clock.h"
 
-/** The lock of a module without instances; zeroed, made at its first use. */
+/** Lock of a module without instances; zero-initialized, made on first use. */
 typedef struct {
 	_Atomic(apr_thread_mutex_t *) mutex;
 } jj_static_lock_t;
 
 /**
- * A pool of its own; APR is started by the first. Ended by apr_pool_destroy,
- * which ends the locks in it too: threads must be joined before.
+ * Creates an root pool; the first call initializes APR. Free it by
+ * apr_pool_destroy, which destroys its locks too: join the threads first.
  */
 apr_pool_t *jj_runtime_create_pool(void);
 apr_thread_mutex_t *jj_runtime_create_mutex(apr_pool_t *pool);
-/** @return NULL when the system has no thread to give. */
+/** @return NULL if the thread cannot be created. */
 apr_thread_t *jj_runtime_start_thread(
     apr_pool_t *pool, apr_thread_start_t function, void *argument);
 void jj_runtime_join_thread(apr_thread_t *thread);
 
 /**
- * Something one thread waits at until another wakes it (apr_pollset_wakeup).
- * A wake without a waiting thread ends the next wait at once.
- * @return NULL when the process has no file descriptor left.
+ * Creates an object on which one thread waits until another wakes it with
+ * apr_pollset_wakeup. A wake-up while no thread waits ends the next wait at
+ * once.
+ * @return NULL if the process has no free file descriptor.
  */
 apr_pollset_t *jj_runtime_create_waker(apr_pool_t *pool);
 /**
- * Waits to be woken, but no longer than @p most_ms (JJ_MS_NEVER: no bound).
- * May return early for no reason: look at what was waited for.
+ * Waits for a wake-up, at most @p timeout_ms (JJ_MS_NEVER: no timeout).
+ * May return early without a reason: check the condition again.
  */
-void jj_runtime_wait(apr_pollset_t *waker, jj_ms_t most_ms);
+void jj_runtime_wait(apr_pollset_t *waker, jj_ms_t timeout_ms);
 
 void jj_runtime_lock_static(jj_static_lock_t *lock);
 void jj_runtime_unlock_static(jj_static_lock_t *lock);
--- a/tests/adapters/loop_test.cc
+++ b/tests/adapters/loop_test.cc
@@ -1,6 +1,6 @@
 /**
  * @file loop_test.cc
- * @brief A loop's tasks run in order, and none waits for another to wake it.
+ * @brief A loop runs its tasks in order and wakes up for each of them.
  */
 #include <atomic>
 #include <chrono>
@@ -20,18 +20,18 @@
 
 constexpr int POSTERS = 4;
 constexpr int TASKS_EACH = 2000;
-/** Generous: only a task that is never run takes as long. */
+/** Time limit; only a task that is never run exceeds it. */
 constexpr std::chrono::seconds LIMIT(30);
 
 struct task_t {
-	jj_task_t task; /**< the first: the loop hands back its address */
+	jj_task_t task; /**< first member: run_task casts from its address */
 	int poster;
 	int number;
 	std::promise<void> ran;
 };
 
-/** What the loop's thread sees; its own until the loop is stopped. */
-struct seen_t {
+/** Recorded on the loop's thread; read after the loop was stopped. */
+struct recorded_t {
 	std::vector<int> next = std::vector<int>(POSTERS);
 	bool in_order = true;
 	std::atomic<int> ticks{0};
@@ -42,39 +42,39 @@
 run_task(jj_task_t *task, void *ctx, jj_ms_t now)
 {
 	task_t *own = reinterpret_cast<task_t *>(task);
-	seen_t *seen = static_cast<seen_t *>(ctx);
+	recorded_t *recorded = static_cast<recorded_t *>(ctx);
 
 	(void)now;
-	seen->in_order &= seen->next[own->poster] == own->number;
-	seen->next[own->poster]++;
+	recorded->in_order &= recorded->next[own->poster] == own->number;
+	recorded->next[own->poster]++;
 	own->ran.set_value();
 }
 
 jj_ms_t
 next_due(void *ctx)
 {
-	return static_cast<seen_t *>(ctx)->due;
+	return static_cast<recorded_t *>(ctx)->due;
 }
 
 void
 count_tick(void *ctx, jj_ms_t now)
 {
 	(void)now;
-	static_cast<seen_t *>(ctx)->due = JJ_MS_NEVER;
-	static_cast<seen_t *>(ctx)->ticks++;
+	static_cast<recorded_t *>(ctx)->due = JJ_MS_NEVER;
+	static_cast<recorded_t *>(ctx)->ticks++;
 }
 
 } // namespace
 
 /*
- * A caller's request stands still until some other request comes in. It was
- * posted just as the loop had found no task and was about to wait; the loop
- * was not waiting yet, so nobody woke it, and it slept with a task to do.
+ * Guards against a lost wake-up: a task is posted after the loop has found its
+ * queue empty but before it waits. As the loop does not wait yet, the poster
+ * does not wake it, and a caller's request stalls until the next one arrives.
  */
 TEST(Loop, EveryPostWakes)
 {
-	seen_t seen;
-	jj_loop_t *loop = jj_loop_create(next_due, count_tick, &seen);
+	recorded_t recorded;
+	jj_loop_t *loop = jj_loop_create(next_due, count_tick, &recorded);
 	std::vector<std::thread> posters;
 	std::atomic<bool> all_ran{true};
 
@@ -92,7 +92,7 @@
 				if (ran.wait_for(LIMIT) !=
 				    std::future_status::ready)
 					all_ran = false;
-				/* It may still run: its memory stays. */
+				/* It may still run: keep its memory until then. */
 				ran.wait();
 			}
 		});
@@ -101,22 +101,22 @@
 		poster.join();
 	jj_loop_stop(loop);
 	EXPECT_TRUE(all_ran);
-	EXPECT_TRUE(seen.in_order);
-	for (int count : seen.next)
+	EXPECT_TRUE(recorded.in_order);
+	for (int count : recorded.next)
 		EXPECT_EQ(TASKS_EACH, count);
 	jj_loop_destroy(loop);
 }
 
 TEST(Loop, TicksWhenDueWithoutATask)
 {
-	seen_t seen;
-	jj_loop_t *loop = jj_loop_create(next_due, count_tick, &seen);
+	recorded_t recorded;
+	jj_loop_t *loop = jj_loop_create(next_due, count_tick, &recorded);
 
-	seen.due = jj_monotonic_now() + 20;
+	recorded.due = jj_monotonic_now() + 20;
 	ASSERT_TRUE(jj_loop_start(loop));
-	while (seen.ticks == 0)
+	while (recorded.ticks == 0)
 		std::this_thread::yield();
-	EXPECT_EQ(JJ_MS_NEVER, seen.due);
+	EXPECT_EQ(JJ_MS_NEVER, recorded.due);
 	jj_loop_stop(loop);
 	jj_loop_destroy(loop);
 }
