--- a/src/adapters/deployment.h
+++ b/src/adapters/deployment.h
@@ -1,10 +1,10 @@
 /**
  * @file deployment.h
- * @brief What a deployment's own platform and callers speak, as a port.
+ * @brief Port that adapts the daemon to a deployment's platform and callers.
  *
- * The product decides in its own types; a deployment that speaks another
- * language on the wire translates at this boundary and nowhere else. Its names
- * of headers, calls and objects stay behind these functions.
+ * The core and the daemon use their own types. A deployment with other APIs
+ * translates them behind this interface and nowhere else: its names of headers,
+ * paths and objects appear only in the implementation.
  */
 #ifndef JJ_ADAPTERS_DEPLOYMENT_H
 #define JJ_ADAPTERS_DEPLOYMENT_H
@@ -15,54 +15,54 @@
 #include "core/route.h"
 #include "core/slots.h"
 
-/** What a call at the callers' address asks for. */
+/** Kinds of calls at the callers' address. */
 typedef enum {
-	JJ_FRONT_FORWARD, /**< a request for a server, or a job's submission */
-	JJ_FRONT_READ_RESULTS,
-	JJ_FRONT_READ_ITEM,
-	JJ_FRONT_END_JOB,
-	JJ_FRONT_MALFORMED,
+	JJ_FRONT_FORWARD, /**< a request to a server, or a job submission */
+	JJ_FRONT_READ_RESULTS, /**< read a page of a job's results */
+	JJ_FRONT_READ_ITEM, /**< read the body of a job's item */
+	JJ_FRONT_END_JOB, /**< end a job */
+	JJ_FRONT_MALFORMED, /**< answered with 400 */
 } jj_front_kind_t;
 
 typedef struct {
 	jj_front_kind_t kind;
-	char job[JJ_INLINE_ID_MAX + 1];
-	char *item; /**< for the receiver to free, or NULL */
-	uint32_t after; /**< position of the first result wanted */
-	jj_ms_t wait_ms; /**< the reader waits for a result so long */
+	char job[JJ_INLINE_ID_MAX + 1]; /**< id; empty if forwarded */
+	char *item; /**< id; to be freed by the receiver; or NULL */
+	uint32_t after; /**< position of the first requested result */
+	jj_ms_t wait_ms; /**< maximum time to wait for a result */
 } jj_front_call_t;
 
-/** Names of headers that the system reads or sets. */
+/** Names of headers that the daemon reads or sets. */
 typedef struct {
-	const char *request_id; /**< of one attempt of the caller */
-	const char *deadline_ms; /**< time left, ms */
-	const char *target; /**< id of the one server that may run it */
-	const char *not_run; /**< a server's word that it did not run it */
-	const char *stamp; /**< proof that an answer is a server's own */
-	const char *last_event_id; /**< a stream goes on behind it */
+	const char *request_id; /**< id of one attempt of the caller */
+	const char *deadline_ms; /**< time until the deadline, ms */
+	const char *target; /**< id of the only server that may run it */
+	const char *not_run; /**< a server reports that it didn't run it */
+	const char *stamp; /**< proves that the answer is the server's */
+	const char *last_event_id; /**< a stream resumes after this event */
 } jj_front_headers_t;
 
 typedef struct {
-	const char *form; /**< as the setting platform.form names it */
-	const jj_platform_wire_t *store;
-	const char *config_prefix; /**< of objects, with '/' */
-	const char *config_key; /**< of the object in force */
+	const char *form; /**< value of the setting platform.form */
+	const jj_platform_codec_t *store; /**< codec of the object store */
+	const char *config_prefix; /**< of the objects' keys, with '/' */
+	const char *config_key; /**< key of the configuration in force */
 	const char *servers_prefix;
-	const char *retire_prefix; /**< orders to empty a VM */
-	const char *ready_path; /**< the balancer asks it */
+	const char *retire_prefix; /**< of orders to drain a VM */
+	const char *ready_path; /**< health check of the load balancer */
 	jj_front_headers_t headers;
 	bool (*read_routes)(const jj_bytes_t *object, jj_routes_t *routes,
 	    char *why, size_t why_size);
-	/** False, and @p why, for an entry that names no server to use. */
+	/** False, with the reason in @p why, for an entry that can't be used. */
 	bool (*read_server)(const char *id, const jj_bytes_t *object,
 	    jj_slot_info_t *info, char *why, size_t why_size);
 	void (*read_call)(const jj_http_call_t *call, jj_front_call_t *read);
-	/** A job out of its submission; false when malformed. */
+	/** Decodes a job submission; false when malformed. */
 	bool (*read_job)(const jj_http_call_t *call, jj_inline_job_t *job);
 	jj_bytes_t (*write_page)(const jj_inline_page_t *page);
 } jj_deployment_t;
 
-/** The deployment of that form, or NULL. */
+/** Finds the deployment by its platform.form; NULL if unknown. */
 const jj_deployment_t *jj_deployment_find(const char *form);
 
 #endif
--- a/src/adapters/platform.c
+++ b/src/adapters/platform.c
@@ -12,13 +12,13 @@
 #include "adapters/monotonic.h"
 #include "adapters/trace.h"
 
-/** Largest answer kept, bytes: a list with values may be large. */
-#define ANSWER_MAX (64U << 20)
-/** Longest time for an answer whose pieces keep coming, ms. */
-#define ANSWER_MOST_MS 30000
+/** Maximum size of an answer, bytes: a list with values may be large. */
+#define ANSWER_MAX_BYTES (64U << 20)
+/** Maximum time for a whole answer while data keeps arriving, ms. */
+#define ANSWER_TIMEOUT_MS 30000
 
 struct jj_platform {
-	const jj_platform_wire_t *wire;
+	const jj_platform_codec_t *codec;
 	jj_http_client_t *http;
 	char address[JJ_NAME_MAX + 1];
 	char client_name[JJ_NAME_MAX + 1];
@@ -34,7 +34,7 @@
 	char key[JJ_OBJECT_KEY_MAX + 1]; /**< of the call */
 	jj_buffer_t answer;
 	bool too_large;
-	jj_span_t span; /**< the hop to the platform */
+	jj_span_t span; /**< trace span of the call */
 } exchange_t;
 
 static jj_http_flow_t on_data(void *, const char *, size_t);
@@ -42,13 +42,13 @@
 static void read_answer(exchange_t *, jj_http_end_t, const jj_http_head_t *);
 
 jj_platform_t *
-jj_platform_create(const jj_platform_wire_t *wire, const char *address,
+jj_platform_create(const jj_platform_codec_t *codec, const char *address,
     const char *client_name, jj_ms_t timeout_ms, jj_platform_done_t done,
     void *ctx)
 {
 	jj_platform_t *platform = jj_alloc(sizeof(*platform));
 
-	platform->wire = wire;
+	platform->codec = codec;
 	(void)snprintf(
 	    platform->address, sizeof(platform->address), "%s", address);
 	(void)snprintf(platform->client_name, sizeof(platform->client_name),
@@ -77,7 +77,7 @@
 jj_platform_start(jj_platform_t *platform, jj_platform_call_t *call)
 {
 	exchange_t *exchange = jj_alloc(sizeof(*exchange));
-	jj_platform_request_t *written = jj_alloc(sizeof(*written));
+	jj_platform_request_t *encoded = jj_alloc(sizeof(*encoded));
 	jj_http_request_t request = {0};
 	size_t i;
 
@@ -86,29 +86,29 @@
 	exchange->result.token = call->token;
 	exchange->result.op = call->op;
 	memcpy(exchange->key, call->key, sizeof(exchange->key));
-	platform->wire->write(platform->client_name, call, written);
-	jj_trace_begin(&exchange->span, NULL, JJ_HOP_PLATFORM, written->method,
+	platform->codec->write(platform->client_name, call, encoded);
+	jj_trace_begin(&exchange->span, NULL, JJ_HOP_PLATFORM, encoded->method,
 	    jj_unix_now_ns());
 	jj_trace_set(&exchange->span, "key", call->key);
-	request.method = written->method;
+	request.method = encoded->method;
 	request.address = platform->address;
-	request.path = written->path;
-	for (i = 0; i < 2 && written->headers[i][0] != '\0'; i++)
-		request.headers[i] = written->headers[i];
-	request.body = written->body.data;
-	request.body_size = written->body.size;
-	/* How long a whole answer takes depends on its size and the link. */
-	request.timeout_ms = call->wait_ms + ANSWER_MOST_MS;
+	request.path = encoded->path;
+	for (i = 0; i < 2 && encoded->headers[i][0] != '\0'; i++)
+		request.headers[i] = encoded->headers[i];
+	request.body = encoded->body.data;
+	request.body_size = encoded->body.size;
+	/* A whole answer may take long: it depends on its size and the link. */
+	request.timeout_ms = call->wait_ms + ANSWER_TIMEOUT_MS;
 	request.begin_ms = call->wait_ms + platform->timeout_ms;
 	request.silence_ms = platform->timeout_ms;
-	request.once = written->once;
+	request.once = encoded->new_connection;
 	request.ctx = exchange;
 	request.on_data = on_data;
 	request.on_end = on_end;
 	(void)atomic_fetch_add(&platform->calls, 1);
 	(void)jj_http_client_start(platform->http, &request);
-	jj_bytes_free(&written->body);
-	free(written);
+	jj_bytes_free(&encoded->body);
+	free(encoded);
 	jj_platform_call_clear(call);
 }
 
@@ -119,7 +119,7 @@
 }
 
 jj_platform_outcome_t
-jj_platform_judge_status(int status, int conflict)
+jj_platform_classify_status(int status, int conflict)
 {
 	if (status == conflict)
 		return JJ_PLATFORM_CONFLICT;
@@ -146,7 +146,7 @@
 {
 	exchange_t *exchange = ctx;
 
-	if (exchange->answer.bytes.size + size > ANSWER_MAX)
+	if (exchange->answer.bytes.size + size > ANSWER_MAX_BYTES)
 		exchange->too_large = true;
 	else
 		jj_buffer_append(&exchange->answer, data, size);
@@ -180,16 +180,19 @@
 	if (exchange->too_large)
 		jj_log(JJ_LOG_WARN, "platform_answer_too_large",
 		    "key=%s op=%d most_bytes=%u", exchange->key,
-		    (int)result->op, ANSWER_MAX);
+		    (int)result->op, ANSWER_MAX_BYTES);
 	if (end == JJ_HTTP_NOT_SENT)
 		result->outcome = JJ_PLATFORM_DOWN;
 	else if (end == JJ_HTTP_COMPLETE && exchange->too_large &&
 	    result->op == JJ_PLATFORM_WATCH)
-		/* The same news would come again; a list comes in pages. */
+		/*
+		 * A repeated watch would get the same events again; a gap
+		 * makes the caller list the objects, which is paged.
+		 */
 		result->outcome = JJ_PLATFORM_GAP;
 	else if (end != JJ_HTTP_COMPLETE || exchange->too_large)
 		result->outcome = JJ_PLATFORM_UNKNOWN;
 	else
-		exchange->platform->wire->read(result, exchange->key, head,
+		exchange->platform->codec->read(result, exchange->key, head,
 		    exchange->answer.bytes.data, exchange->answer.bytes.size);
 }
--- a/src/adapters/platform_wire.c
+++ b/src/adapters/platform_wire.c
@@ -1,6 +1,6 @@
 /**
  * @file platform_wire.c
- * @brief The platform's own object API on the wire (docs/interfaces).
+ * @brief Codec of the object API in docs/interfaces/PLATFORM.md.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -11,7 +11,7 @@
 
 #include "adapters/platform.h"
 
-/** An object that exists, or is at another version. */
+/** HTTP status: the object exists already, or has another version. */
 #define STATUS_CONFLICT 412
 
 static void
@@ -20,11 +20,11 @@
 static const char *method_of(jj_platform_op_t);
 static void read_answer(jj_platform_result_t *, const char *,
     const jj_http_head_t *, const char *, size_t);
-static bool take_items(jj_platform_result_t *, const char *, size_t);
-static void take_item(jj_platform_item_t *, const json_t *);
+static bool read_items(jj_platform_result_t *, const char *, size_t);
+static void read_item(jj_platform_item_t *, const json_t *);
 static uint64_t version_of(const char *);
 
-const jj_platform_wire_t jj_platform_own_wire = {write_call, read_answer};
+const jj_platform_codec_t jj_platform_own_wire = {write_call, read_answer};
 
 static void
 write_call(const char *client_name, const jj_platform_call_t *call,
@@ -43,10 +43,11 @@
 		(void)snprintf(request->headers[1], sizeof(request->headers[1]),
 		    "If-Match: \"%llu\"", (unsigned long long)call->version);
 	/*
-	 * A conditional write that libcurl repeated by itself would meet its
-	 * own first effect as a conflict; the core must see each try.
+	 * If libcurl repeated a conditional write that had taken effect, the
+	 * second attempt would get a conflict. A new connection prevents that,
+	 * so the core is notified of each attempt.
 	 */
-	request->once = call->op != JJ_PLATFORM_GET &&
+	request->new_connection = call->op != JJ_PLATFORM_GET &&
 	    call->op != JJ_PLATFORM_LIST && call->op != JJ_PLATFORM_VMS;
 }
 
@@ -65,26 +66,26 @@
 }
 
 static void
-write_path(const jj_platform_call_t *call, char *path, size_t room)
+write_path(const jj_platform_call_t *call, char *path, size_t path_size)
 {
 	switch (call->op) {
 	case JJ_PLATFORM_LIST:
-		(void)snprintf(path, room,
+		(void)snprintf(path, path_size,
 		    "/v1/list?prefix=%s&after=%s&limit=%d&values=%d", call->key,
 		    call->after, call->limit > 0 ? call->limit : 1000,
 		    call->values ? 1 : 0);
 		break;
 	case JJ_PLATFORM_WATCH:
-		(void)snprintf(path, room,
+		(void)snprintf(path, path_size,
 		    "/v1/watch?prefix=%s&since=%llu&wait=%lld", call->key,
 		    (unsigned long long)call->version,
 		    (long long)call->wait_ms);
 		break;
 	case JJ_PLATFORM_VMS:
-		(void)snprintf(path, room, "/v1/vms");
+		(void)snprintf(path, path_size, "/v1/vms");
 		break;
 	default:
-		(void)snprintf(path, room, "/v1/objects/%s", call->key);
+		(void)snprintf(path, path_size, "/v1/objects/%s", call->key);
 		break;
 	}
 }
@@ -95,14 +96,14 @@
 {
 	(void)key;
 	result->outcome =
-	    jj_platform_judge_status(head->status, STATUS_CONFLICT);
+	    jj_platform_classify_status(head->status, STATUS_CONFLICT);
 	if (result->outcome != JJ_PLATFORM_OK &&
 	    result->outcome != JJ_PLATFORM_CONFLICT &&
 	    result->outcome != JJ_PLATFORM_GAP)
 		return;
 	result->version = version_of(head->etag);
 	if (result->op == JJ_PLATFORM_LIST || result->op == JJ_PLATFORM_WATCH) {
-		if (!take_items(result, body, size))
+		if (!read_items(result, body, size))
 			result->outcome = JJ_PLATFORM_UNKNOWN;
 		return;
 	}
@@ -121,7 +122,7 @@
 }
 
 static bool
-take_items(jj_platform_result_t *result, const char *text, size_t size)
+read_items(jj_platform_result_t *result, const char *text, size_t size)
 {
 	json_t *root;
 	json_t *array;
@@ -140,14 +141,14 @@
 		result->items =
 		    jj_alloc(json_array_size(array) * sizeof(*result->items));
 	for (i = 0; i < json_array_size(array); i++)
-		take_item(&result->items[i], json_array_get(array, i));
+		read_item(&result->items[i], json_array_get(array, i));
 	result->item_count = json_array_size(array);
 	json_decref(root);
 	return true;
 }
 
 static void
-take_item(jj_platform_item_t *item, const json_t *json)
+read_item(jj_platform_item_t *item, const json_t *json)
 {
 	const char *key = json_string_value(json_object_get(json, "key"));
 	const char *value = json_string_value(json_object_get(json, "value"));
--- a/tests/adapters/platform_test.cc
+++ b/tests/adapters/platform_test.cc
@@ -1,6 +1,6 @@
 /**
  * @file platform_test.cc
- * @brief How long the answer of a platform call is waited for.
+ * @brief Timeouts of the answer to a platform call.
  */
 #include <chrono>
 #include <condition_variable>
@@ -15,12 +15,12 @@
 namespace
 {
 
-/** Far beyond what anything here takes, ms. */
+/** Time limit of each wait in these tests, far above the usual, ms. */
 constexpr int LIMIT_MS = 20000;
-/** Time limit of the calls here, ms. */
+/** Timeout of the platform calls, ms. */
 constexpr int TIMEOUT_MS = 1500;
-/** Between two pieces of an answer, ms. */
-constexpr int PACE_MS = 400;
+/** Interval between two pieces of an answer, ms. */
+constexpr int PIECE_INTERVAL_MS = 400;
 
 /** Waits for one result. */
 class Result
@@ -57,7 +57,7 @@
 
 struct PaceCase {
 	const char *name;
-	int pieces; /**< that come, of as many as the answer has */
+	int pieces; /**< how many of the answer's PIECES are sent */
 	jj_platform_outcome_t outcome;
 };
 
@@ -87,7 +87,7 @@
 		(void)read_until(server.last(), "\r\n\r\n");
 	}
 	void
-	say(const std::string &text) const
+	send_text(const std::string &text) const
 	{
 		EXPECT_EQ(static_cast<ssize_t>(text.size()),
 		    send(
@@ -99,11 +99,11 @@
 	{
 		pollfd closed = {server.last(), POLLRDHUP, 0};
 
-		return poll(&closed, 1, PACE_MS) == 0;
+		return poll(&closed, 1, PIECE_INTERVAL_MS) == 0;
 	}
 };
 
-/* Guards against a large configuration on a slow link that is never read. */
+/* Guards against a time-out of a large configuration on a slow link. */
 TEST_P(PlatformPace, IsReadWhileItKeepsComing)
 {
 	const std::string body =
@@ -113,10 +113,10 @@
 	list();
 	for (int i = 0; i < GetParam().pieces; i++) {
 		if (i == 0)
-			say("HTTP/1.1 200 OK\r\nContent-Length: " +
+			send_text("HTTP/1.1 200 OK\r\nContent-Length: " +
 			    std::to_string(body.size()) + "\r\n\r\n");
 		ASSERT_TRUE(stays_open()) << i;
-		say(body.substr((size_t)i * part, part));
+		send_text(body.substr((size_t)i * part, part));
 	}
 	EXPECT_EQ(GetParam().outcome, result.wait());
 }
--- a/tests/platform/config_test.cc
+++ b/tests/platform/config_test.cc
@@ -1,6 +1,7 @@
 /**
  * @file config_test.cc
- * @brief Configurations of any size are read; a bad route hides no other.
+ * @brief Parsing of configurations: all sizes, and invalid routes among valid
+ * ones.
  */
 #include <string>
 
@@ -17,7 +18,7 @@
 {
 
 std::string
-describe_route(size_t number, const char *kind, const std::string &prefix)
+route_json(size_t number, const char *kind, const std::string &prefix)
 {
 	return "{\"name\":\"r" + std::to_string(number) +
 	    "\",\"host\":\"h\",\"pathPrefix\":\"" + prefix + "\",\"kind\":\"" +
@@ -25,49 +26,48 @@
 	    "\",\"service\":\"ordini\",\"maxAttempts\":3,\"retentionS\":60}";
 }
 
-/** A batch route and as many others as asked for, in version @p version. */
+/** A configuration with one batch route and @p routes - 1 others. */
 std::string
-describe_config(int version, size_t routes)
+config_json(int version, size_t routes)
 {
 	std::string text = "{\"version\":" + std::to_string(version) +
-	    ",\"routes\":[" + describe_route(0, "batch", "/batch/");
+	    ",\"routes\":[" + route_json(0, "batch", "/batch/");
 
 	for (size_t i = 1; i < routes; i++)
-		text += "," +
-		    describe_route(i, "safe", "/p" + std::to_string(i) + "/");
+		text +=
+		    "," + route_json(i, "safe", "/p" + std::to_string(i) + "/");
 	return text + "]}";
 }
 
-/** The most routes of that form in one object of the store. */
+/** How many such routes fit into one object of the store. */
 size_t
-count_most_routes()
+count_max_routes()
 {
 	size_t routes = 1;
 
-	while (describe_config(7, 2 * routes).size() <= JJ_OBJECT_VALUE_MAX)
+	while (config_json(7, 2 * routes).size() <= JJ_OBJECT_VALUE_MAX)
 		routes *= 2;
 	for (size_t step = routes; step > 0; step /= 2)
-		if (describe_config(7, routes + step).size() <=
-		    JJ_OBJECT_VALUE_MAX)
+		if (config_json(7, routes + step).size() <= JJ_OBJECT_VALUE_MAX)
 			routes += step;
 	return routes;
 }
 
 struct SizeCase {
 	const char *name;
-	size_t routes; /**< 0: as many as an object holds */
+	size_t routes; /**< 0: as many as fit into an object */
 };
 
 class ConfigSize : public ::testing::TestWithParam<SizeCase>
 {
 };
 
-/* Guards against a valid configuration that is refused for its length. */
+/* Guards against refusing a valid configuration because of its length. */
 TEST_P(ConfigSize, IsRead)
 {
 	size_t count =
-	    GetParam().routes != 0 ? GetParam().routes : count_most_routes();
-	std::string text = describe_config(7, count);
+	    GetParam().routes != 0 ? GetParam().routes : count_max_routes();
+	std::string text = config_json(7, count);
 	jj_bytes_t object = jj_bytes_copy(text.data(), text.size());
 	std::string last = "/p" + std::to_string(count - 1) + "/x";
 	jj_routes_t routes;
@@ -102,7 +102,7 @@
 {
 };
 
-/* Guards against one long text that hides all other routes. */
+/* Guards against refusing all routes because one has a long text. */
 TEST_P(ConfigTexts, AreRead)
 {
 	const TextCase &sizes = GetParam();
@@ -120,7 +120,7 @@
 	for (size_t i = 0; i < sizes.backends; i++)
 		text += (i > 0 ? ",{" : "{") + std::string("\"service\":\"") +
 		    service + "\",\"weight\":1}";
-	text += "]}," + describe_route(1, "safe", "/other/") + "]}";
+	text += "]}," + route_json(1, "safe", "/other/") + "]}";
 	jj_bytes_t object = jj_bytes_copy(text.data(), text.size());
 	ASSERT_TRUE(jj_platform_read_routes(&object, &routes, why, sizeof(why)))
 	    << why;
@@ -131,7 +131,7 @@
 	EXPECT_EQ(sizes.backends, found->backend_count);
 	EXPECT_NE(nullptr, jj_routes_match(&routes, "h", "/other/x"));
 
-	/* A server of that service is one of the route's. */
+	/* The route allows a server with that service. */
 	text = "{\"service\":\"" + service +
 	    "\",\"zone\":\"z\",\"address\":\"10.0.0.1:80\","
 	    "\"slots\":1,\"state\":\"ready\"}";
@@ -155,7 +155,7 @@
 
 struct BadRouteCase {
 	const char *name;
-	const char *terms; /**< of the route, beside host and prefix */
+	const char *terms; /**< fields of the route besides host and prefix */
 };
 
 class ConfigRoutes : public ::testing::TestWithParam<BadRouteCase>
@@ -187,11 +187,11 @@
 	}
 };
 
-/* Guards against one bad route that hides all others. */
+/* Guards against refusing all routes because one is invalid. */
 TEST_P(ConfigRoutes, AreReadBesideABadOne)
 {
-	ASSERT_TRUE(read(describe_route(1, "safe", "/a/") + "," + bad_route() +
-	    "," + describe_route(2, "safe", "/c/")))
+	ASSERT_TRUE(read(route_json(1, "safe", "/a/") + "," + bad_route() +
+	    "," + route_json(2, "safe", "/c/")))
 	    << why;
 	EXPECT_EQ(1U, routes.unreadable);
 	EXPECT_STREQ("r1", jj_routes_match(&routes, "h", "/a/x")->name.text);
@@ -222,7 +222,10 @@
 	    ",\"name\":\"b\",\"kind\":\"safe\",\"backends\":[\"s\"]"}),
     [](const auto &info) { return std::string(info.param.name); });
 
-/* Guards against requests of a route whose place is not known. */
+/*
+ * A route without a usable host or prefix: it is unknown which requests it
+ * applies to, so the whole version is refused.
+ */
 TEST(ConfigPlaces, ThatCannotBeReadRefuseTheVersion)
 {
 	const char *const bad[] = {"{\"name\":\"b\",\"kind\":\"safe\","
@@ -233,7 +236,7 @@
 
 	for (const char *route : bad) {
 		std::string text = "{\"version\":7,\"routes\":[" +
-		    describe_route(1, "safe", "/a/") + "," + route + "]}";
+		    route_json(1, "safe", "/a/") + "," + route + "]}";
 		jj_bytes_t object = jj_bytes_copy(text.data(), text.size());
 		jj_routes_t routes;
 		char why[200] = "";
@@ -246,7 +249,7 @@
 	}
 }
 
-/* Guards against two long names that are taken for one. */
+/* Guards against treating two different long names as equal. */
 TEST(ConfigNames, ThatAreLongDiffer)
 {
 	std::string one(100, 'a');
@@ -259,7 +262,7 @@
 	EXPECT_TRUE(jj_name_equal(&first, &second));
 }
 
-/* Guards against a name cut within a character, which can't be written. */
+/* Guards against cutting a name within a character, as it is then not UTF-8. */
 TEST(ConfigNames, AreCutBetweenCharacters)
 {
 	for (size_t ascii = 0; ascii < 8; ascii++) {
@@ -294,7 +297,7 @@
 			refusals.push_back(action.body.answer);
 	}
 	ManyRoutes()
-	    : GatewayFleet(3, 1, read_platform_routes, describe_config(7, 3))
+	    : GatewayFleet(3, 1, read_platform_routes, config_json(7, 3))
 	{
 	}
 	void
@@ -318,7 +321,7 @@
 	}
 };
 
-/* Guards against accepted items that no VM sends after a restart of all. */
+/* Guards against accepted items that no VM sends after all VMs restarted. */
 TEST_F(ManyRoutes, ItemsAreSentAfterARestartOfAllVms)
 {
 	uint64_t operation = submit("verona-1", "j");
@@ -326,7 +329,7 @@
 	run(1000);
 	ASSERT_EQ(202, vms["verona-1"].answers[operation]);
 	ASSERT_EQ(1, sum("item_sent"));
-	platform.put("config/main", describe_config(9, 4204));
+	platform.put("config/main", config_json(9, 4204));
 	restart_all();
 	run(6000);
 	for (auto &vm : vms)
@@ -334,11 +337,11 @@
 	EXPECT_LE(1, sum("item_sent"));
 }
 
-/* Guards against a request without an answer on a route without a service. */
+/* Guards against not answering a request whose route has no service. */
 TEST_F(ManyRoutes, ARequestOfABadRouteIsRefusedAtOnce)
 {
 	std::string text = "{\"version\":9,\"routes\":[" +
-	    describe_route(1, "safe", "/") +
+	    route_json(1, "safe", "/") +
 	    ",{\"host\":\"h\",\"pathPrefix\":\"/bad/\"}]}";
 
 	see("verona-1", 1, "config/main", text.c_str());
@@ -350,11 +353,11 @@
 	EXPECT_LT(0, refusals[0].retry_after_ms);
 }
 
-/* Guards against items of a job that a version with a bad route ends. */
+/* Guards against ending a job's items when their route becomes invalid. */
 TEST_F(ManyRoutes, ItemsWaitWhileTheirRouteIsBad)
 {
 	std::string bad = "{\"version\":9,\"routes\":[" +
-	    describe_route(1, "safe", "/") +
+	    route_json(1, "safe", "/") +
 	    ",{\"host\":\"h\",\"pathPrefix\":\"/batch/\"}]}";
 
 	submit("verona-1", "j");
@@ -365,16 +368,16 @@
 	EXPECT_EQ(0, sum("item_sent"));
 	EXPECT_LE(1, sum("job_lacks_route"));
 	for (auto &vm : vms)
-		see(vm.first, 1, "config/main", describe_config(11, 3).c_str());
+		see(vm.first, 1, "config/main", config_json(11, 3).c_str());
 	run(1000);
 	EXPECT_LE(1, sum("job_found_route"));
 	EXPECT_LE(1, sum("item_sent"));
 }
 
-/* Guards against an older configuration that stays in force. */
+/* Guards against keeping an older configuration in force. */
 TEST_F(ManyRoutes, AreInForceWhenTheyAreStored)
 {
-	std::string text = describe_config(9, 4204);
+	std::string text = config_json(9, 4204);
 
 	see("verona-2", 1, "config/main", text.c_str());
 	run(3000);
--- a/tests/platform/entries_test.cc
+++ b/tests/platform/entries_test.cc
@@ -1,7 +1,7 @@
 /**
  * @file entries_test.cc
- * @brief Servers' entries, of their own and of other writers, alone and among
- * others.
+ * @brief Decoding of server entries, written by servers or other programs,
+ * singly and in lists.
  */
 #include <cstring>
 #include <string>
@@ -15,7 +15,7 @@
 namespace
 {
 
-/** An entry as a server writes it, with one field put in another way. */
+/** An entry as a server writes it, with one field changed, added or removed. */
 std::string
 entry(const std::string &field = "", const std::string &value = "")
 {
@@ -24,18 +24,19 @@
 	    {"version", "\"v1\""}, {"slots", "8"}, {"state", "\"ready\""},
 	    {"coldRemainingMs", "0"}, {"born", "1768922969619"}, {"seq", "4"}};
 	std::string text = "{";
-	bool known = false;
+	bool is_usual_field = false;
 
 	for (auto &each : fields) {
-		bool is_it = field == each[0];
+		bool is_changed = field == each[0];
 
-		known = known || is_it;
-		if (is_it && value.empty())
+		is_usual_field = is_usual_field || is_changed;
+		if (is_changed && value.empty())
 			continue;
 		text += (text.size() > 1 ? ",\"" : "\"") +
-		    std::string(each[0]) + "\":" + (is_it ? value : each[1]);
+		    std::string(each[0]) +
+		    "\":" + (is_changed ? value : each[1]);
 	}
-	if (!known && !field.empty())
+	if (!is_usual_field && !field.empty())
 		text += ",\"" + field + "\":" + value;
 	return text + "}";
 }
@@ -68,23 +69,23 @@
 	EXPECT_EQ(1768922969619, info.started_ms);
 	EXPECT_TRUE(info.draining);
 	ASSERT_TRUE(read(entry("born", ""), &info));
-	EXPECT_EQ(0, info.started_ms) << "not told";
+	EXPECT_EQ(0, info.started_ms) << "an entry without a start time";
 	EXPECT_TRUE(read(entry("more", "[{}]"), &info))
-	    << "new fields may come";
+	    << "unknown fields are ignored";
 }
 
 struct EntryCase {
 	const char *name;
 	const char *field;
 	const char *value; /**< "": the field is missing */
-	const char *why; /**< a part of the reason */
+	const char *why; /**< expected within the reason */
 };
 
 class PlatformEntry : public ::testing::TestWithParam<EntryCase>
 {
 };
 
-/* Each says what no server says of itself: it names none to use. */
+/* An entry with an invalid field can't be used, and the reason names it. */
 TEST_P(PlatformEntry, NamesNoServer)
 {
 	jj_slot_info_t info;
@@ -185,7 +186,7 @@
 		jj_platform_objects_wire.read(
 		    &result, "servers/", &head, body.data(), body.size());
 	}
-	/** The three entries, the one in the middle without a value. */
+	/** Expects three entries, the middle one without a value. */
 	void
 	expect_entries()
 	{
@@ -206,9 +207,9 @@
 };
 
 /*
- * One text carries a whole list. An entry of another writer that the reader
- * can't take made it refuse all of them: the VM kept what it had known, asked
- * again and again, and after a start knew no server at all.
+ * Guards against refusing a whole list for one entry that can't be parsed and
+ * that another program wrote. The VM then kept its old entries and repeated the
+ * call over and over; after a restart it knew no server at all.
  */
 TEST_P(PlatformBody, OneBadEntryHidesNoOther)
 {
@@ -251,7 +252,7 @@
 	EXPECT_STREQ("servers/bad", result.items[0].key);
 }
 
-/* A name that can't stand in a key: there is no such object for us. */
+/* Objects whose name can't be used in a key are skipped. */
 TEST_F(PlatformBody, ANameThatIsNoneIsLeftOut)
 {
 	const std::string names[] = {"", "a/b", "a b", "\xff", "a\\u0000b",
@@ -268,7 +269,7 @@
 	}
 }
 
-/* Half a text proves nothing: it is no list without the rest. */
+/* A truncated list is not accepted as a list with fewer entries. */
 TEST_F(PlatformBody, ATextThatBreaksOffIsNoList)
 {
 	std::string list =
@@ -280,7 +281,8 @@
 		EXPECT_EQ(0U, result.item_count);
 	}
 	take(JJ_PLATFORM_LIST, "{\"at\":530,\"more\":1e999}");
-	EXPECT_EQ(JJ_PLATFORM_UNKNOWN, result.outcome) << "no list in it";
+	EXPECT_EQ(JJ_PLATFORM_UNKNOWN, result.outcome)
+	    << "the body has no list";
 }
 
 } // namespace
--- a/tests/platform/front_test.cc
+++ b/tests/platform/front_test.cc
@@ -1,6 +1,6 @@
 /**
  * @file front_test.cc
- * @brief What callers' calls ask for, whatever their length.
+ * @brief Decoding of callers' calls, with ids of all lengths.
  */
 #include <condition_variable>
 #include <mutex>
@@ -17,7 +17,7 @@
 namespace
 {
 
-/** Answers a call with the item it asks for, or else with the job's id. */
+/** Answers a call with the id of its item, or else that of its job. */
 void
 on_call(void *, jj_http_call_t *call)
 {
@@ -39,9 +39,9 @@
 	jj_http_call_answer(call, &head, text.data(), text.size());
 }
 
-/** What such a server answers, between the brackets. */
+/** Sends @p request to such a server; returns the id that it answers. */
 std::string
-ask(const std::string &request)
+send_and_read_id(const std::string &request)
 {
 	std::string address = free_address();
 	jj_http_limits_t limits = {
@@ -62,13 +62,13 @@
 {
 };
 
-/* Guards against an item that is accepted and whose body is never given. */
+/* Guards against an accepted item whose long id can't be read later. */
 TEST_P(FrontItem, IsAskedForByItsId)
 {
 	std::string item(GetParam(), 'i');
 
 	EXPECT_EQ(item,
-	    ask("GET /api/items/j?id=" + item +
+	    send_and_read_id("GET /api/items/j?id=" + item +
 		" HTTP/1.1\r\nHost: x\r\n\r\n"));
 }
 
@@ -78,15 +78,17 @@
 struct JobCase {
 	const char *name;
 	size_t id;
-	bool whole; /**< kept as it is */
+	bool unchanged; /**< the id is stored as it is, not shortened */
 };
 
 class FrontJob : public ::testing::TestWithParam<JobCase>
 {
 };
 
-/* Guards against a job that is refused for the length of its id, or taken for
- * another one that begins alike. */
+/*
+ * Guards against refusing a job because its id is long, and against treating
+ * two jobs as one because their long ids begin with the same characters.
+ */
 TEST_P(FrontJob, IsNamedByItsId)
 {
 	std::string id(GetParam().id, 'j');
@@ -103,12 +105,12 @@
 			"\r\n\r\n" + body
 		    : "GET /api/lots/" + named +
 			"?after=0 HTTP/1.1\r\nHost: x\r\n\r\n";
-		got[i] = ask(request);
+		got[i] = send_and_read_id(request);
 	}
 	EXPECT_EQ(got[0], got[1]);
 	EXPECT_NE(got[1], got[2]);
 	EXPECT_NE("", got[0]);
-	EXPECT_EQ(GetParam().whole, got[0] == id + "1");
+	EXPECT_EQ(GetParam().unchanged, got[0] == id + "1");
 }
 
 INSTANTIATE_TEST_SUITE_P(Lengths, FrontJob,
@@ -143,8 +145,11 @@
 	jj_http_call_answer(call, &head, text.data(), text.size());
 }
 
-/* Guards against a watch that asks for the same news for ever, as they are
- * larger than an answer may be; a list comes in pages. */
+/*
+ * Guards against a watch that requests the same events endlessly because they
+ * exceed the maximum size of an answer. It is reported as a gap, so that the
+ * objects are listed instead: lists are split into pages.
+ */
 TEST(PlatformAnswer, NewsThatAreTooLargeAreListed)
 {
 	std::string address = free_address();
--- a/tests/platform/names_test.cc
+++ b/tests/platform/names_test.cc
@@ -1,6 +1,6 @@
 /**
  * @file names_test.cc
- * @brief Only platform/ and deploy/ know the users' platform's names.
+ * @brief Only platform/ and deploy/ may use names of the users' platform.
  */
 #include <filesystem>
 #include <fstream>
@@ -13,7 +13,7 @@
 namespace
 {
 
-/** Names that have no other use in this project. */
+/** Names of the users' platform that nothing else in this project has. */
 const std::vector<std::string> names = {"X-Jujubeswitch-", "api/objects",
     "api/lots", "api/items", "api/ready", "pathPrefix", "maxAttempts",
     "timeoutMs", "targetLatencyMs", "runDeadlineMs", "retentionS", "maxCount",
@@ -48,7 +48,7 @@
 			for (const std::string &hit : find_in(entry.path()))
 				ADD_FAILURE() << hit;
 		}
-	EXPECT_GT(files, 100U) << "run it in the repository's root";
+	EXPECT_GT(files, 100U) << "must run in the repository's root";
 	EXPECT_FALSE(find_in("platform/names.h").empty());
 }
 
--- a/tests/platform/objects_test.cc
+++ b/tests/platform/objects_test.cc
@@ -1,6 +1,6 @@
 /**
  * @file objects_test.cc
- * @brief The users' platform's store on the wire, both ways.
+ * @brief Encoding and decoding of calls to the users' platform.
  */
 #include <cstring>
 #include <string>
@@ -45,7 +45,7 @@
 	EXPECT_EQ(std::string(GetParam().body),
 	    std::string(request.body.data != nullptr ? request.body.data : "",
 		request.body.size));
-	EXPECT_TRUE(request.once);
+	EXPECT_TRUE(request.new_connection);
 	jj_bytes_free(&request.body);
 	jj_platform_call_clear(&call);
 }
@@ -78,7 +78,7 @@
 	jj_platform_outcome_t outcome;
 	uint64_t version;
 	size_t items;
-	const char *value; /**< of the object, or of the first item */
+	const char *value; /**< of the object or the first item */
 };
 
 class ObjectsRead : public ::testing::TestWithParam<ReadCase>
@@ -126,7 +126,7 @@
 	    "Down", JJ_PLATFORM_CREATE, 503, "", JJ_PLATFORM_DOWN, 0, 0, ""},
 	ReadCase{"Error", JJ_PLATFORM_CREATE, 500, "", JJ_PLATFORM_UNKNOWN, 0,
 	    0, ""},
-	/* A 200 without the object proves nothing. */
+	/* Without the object in the body, a 200 doesn't prove success. */
 	ReadCase{"Truncated", JJ_PLATFORM_UPDATE, 200,
 	    "{\"metadata\":", JJ_PLATFORM_UNKNOWN, 0, 0, ""},
 	ReadCase{"NoSuchCall", JJ_PLATFORM_LIST, 405, "", JJ_PLATFORM_UNKNOWN,
@@ -144,8 +144,8 @@
 struct LargeCase {
 	const char *name;
 	jj_platform_op_t op;
-	const char *before; /**< of the large object */
-	const char *after;
+	const char *before; /**< text before the large object */
+	const char *after; /**< text after the large object */
 	bool deleted;
 };
 
@@ -153,7 +153,7 @@
 {
 };
 
-/* Guards against a large value that is changed, or hides others, on its way. */
+/* Guards against altering a large value or losing the objects after it. */
 TEST_P(ObjectsLarge, ComeAsTheyStand)
 {
 	std::string spec =
