--- a/tests/platform/config_test.cc
+++ b/tests/platform/config_test.cc
@@ -375,7 +375,7 @@
 }
 
 /* Guards against keeping an older configuration in force. */
-TEST_F(ManyRoutes, AreInForceWhenTheyAreStored)
+TEST_F(ManyRoutes, TakeEffectWhenStored)
 {
 	std::string text = config_json(9, 4204);
 
--- a/tests/platform/entries_test.cc
+++ b/tests/platform/entries_test.cc
@@ -86,7 +86,7 @@
 };
 
 /* An entry with an invalid field can't be used, and the reason names it. */
-TEST_P(PlatformEntry, NamesNoServer)
+TEST_P(PlatformEntry, IsRefused)
 {
 	jj_slot_info_t info;
 	std::string why;
@@ -135,7 +135,7 @@
 	EntryCase{"BornBeyond", "born", "18446744073709551616", "read"}),
     [](const auto &info) { return std::string(info.param.name); });
 
-TEST(PlatformServer, AnythingElseNamesNone)
+TEST(PlatformServer, RefusesOtherJson)
 {
 	const char *const texts[] = {
 	    "", "x", "5", "null", "[]", "\"ready\"", "{", "{}", "[{}]"};
@@ -253,7 +253,7 @@
 }
 
 /* Objects whose name can't be used in a key are skipped. */
-TEST_F(PlatformBody, ANameThatIsNoneIsLeftOut)
+TEST_F(PlatformBody, SkipsObjectsWithInvalidNames)
 {
 	const std::string names[] = {"", "a/b", "a b", "\xff", "a\\u0000b",
 	    "a\\nb", std::string(5000, 'n')};
--- a/tests/platform/front_test.cc
+++ b/tests/platform/front_test.cc
@@ -150,7 +150,7 @@
  * exceed the maximum size of an answer. It is reported as a gap, so that the
  * objects are listed instead: lists are split into pages.
  */
-TEST(PlatformAnswer, NewsThatAreTooLargeAreListed)
+TEST(PlatformAnswer, AWatchAnswerThatIsTooLargeIsAGap)
 {
 	std::string address = free_address();
 	jj_http_limits_t limits = {
--- a/tests/platform/names_test.cc
+++ b/tests/platform/names_test.cc
@@ -35,7 +35,7 @@
 	return found;
 }
 
-TEST(PlatformNames, StandInNoOtherFolder)
+TEST(PlatformNames, AppearInNoOtherFolder)
 {
 	size_t files = 0;
 
--- a/tests/platform/objects_test.cc
+++ b/tests/platform/objects_test.cc
@@ -29,7 +29,7 @@
 {
 };
 
-TEST_P(ObjectsWrite, SaysWhatTheCallAsks)
+TEST_P(ObjectsWrite, EncodesTheCall)
 {
 	jj_platform_call_t call = {};
 	jj_platform_request_t request = {};
@@ -154,7 +154,7 @@
 };
 
 /* Guards against altering a large value or losing the objects after it. */
-TEST_P(ObjectsLarge, ComeAsTheyStand)
+TEST_P(ObjectsLarge, ArriveUnchanged)
 {
 	std::string spec =
 	    "{ \"metadata\": {\"name\": \"no\"}, \"spec\": [1e999],"
