--- a/src/adapters/platform.c
+++ b/src/adapters/platform.c
@@ -187,7 +187,7 @@
 	    result->op == JJ_PLATFORM_WATCH)
 		/*
 		 * A repeated watch would get the same events again; a gap
-		 * makes the caller list the objects, which is paged.
+		 * makes the core list the objects, which is paged.
 		 */
 		result->outcome = JJ_PLATFORM_GAP;
 	else if (end != JJ_HTTP_COMPLETE || exchange->too_large)
