--- a/examples/check_settings.c
+++ b/examples/check_settings.c
@@ -1,6 +1,6 @@
 /**
  * @file check_settings.c
- * @brief Example: checks settings files as jujubed would at its start.
+ * @brief Example: checks settings files as jujubed does when it starts.
  *
  *     build/example-check_settings examples/padana/verona-1.toml
  */
@@ -13,13 +13,13 @@
 {
 	char why[JJ_SETTINGS_WHY_MAX];
 	jj_settings_t settings;
-	int faults = 0;
+	int invalid_count = 0;
 	int i;
 
 	for (i = 1; i < argc; i++) {
 		if (!jj_settings_load(&settings, argv[i], why, sizeof(why))) {
 			(void)printf("%s\n", why);
-			faults++;
+			invalid_count++;
 			continue;
 		}
 		(void)printf("%s: VM %s of failure domain %s serves %s\n",
@@ -27,5 +27,5 @@
 		    settings.listen_callers);
 		jj_settings_clear(&settings);
 	}
-	return faults > 0 ? 1 : 0;
+	return invalid_count > 0 ? 1 : 0;
 }
--- a/examples/drive_core.c
+++ b/examples/drive_core.c
@@ -1,10 +1,10 @@
 /**
  * @file drive_core.c
- * @brief Example: drives the core of one VM by hand, in virtual time.
+ * @brief Example: drives the core of one VM in virtual time.
  *
- * No socket, thread or clock: the program plays the platform (which has one
- * configuration), one backend server and one caller, and prints each action
- * the core asks for. Ends with 0 when the caller got its answer.
+ * Uses no socket, thread or clock: the program simulates the platform (which
+ * stores one configuration), one backend server and one caller, and prints
+ * the actions of the core. Exits with 0 when the caller received its answer.
  */
 #include <stdio.h>
 #include <string.h>
@@ -26,40 +26,40 @@
 	"\"document\":{\"services\":{\"narrador\":"                   \
 	"{\"kind\":\"model\",\"idempotent\":true}}}}"
 #define CONFIG_KEY "config/current"
-/** How long the example runs, ms of virtual time. */
+/** Maximum duration of the simulation, ms of virtual time. */
 #define END_MS 5000
-/** How long the server takes, ms of virtual time. */
-#define SERVE_MS 40
-/** When the caller's request comes, ms. */
-#define REQUEST_MS 2000
+/** Service time of the backend server, ms of virtual time. */
+#define SERVICE_TIME_MS 40
+/** When the caller sends its request, ms of virtual time. */
+#define REQUEST_TIME_MS 2000
 
-/** The world around the core. */
+/** The core and the state of the simulation around it. */
 typedef struct {
 	jj_core_t *core;
 	jj_ms_t now;
 	bool answered;
-} world_t;
+} simulation_t;
 
 static jj_core_t *create_core(void);
-static void learn_server(jj_core_t *);
-static void run(world_t *);
-static void step(world_t *, const jj_event_t *);
-static void carry_out(world_t *, const jj_action_t *);
-static void answer_platform(world_t *, const jj_platform_call_t *);
-static void serve(world_t *, const jj_backend_start_t *);
-static void send_request(world_t *);
+static void add_server(jj_core_t *);
+static void run(simulation_t *);
+static void handle_event(simulation_t *, const jj_event_t *);
+static void handle_action(simulation_t *, const jj_action_t *);
+static void simulate_platform(simulation_t *, const jj_platform_call_t *);
+static void simulate_server(simulation_t *, const jj_backend_start_t *);
+static void send_request(simulation_t *);
 
 int
 main(void)
 {
-	world_t world = {create_core(), 0, false};
+	simulation_t sim = {create_core(), 0, false};
 
-	if (world.core == NULL)
+	if (sim.core == NULL)
 		return 2;
-	learn_server(world.core);
-	run(&world);
-	jj_core_destroy(world.core);
-	return world.answered ? 0 : 1;
+	add_server(sim.core);
+	run(&sim);
+	jj_core_destroy(sim.core);
+	return sim.answered ? 0 : 1;
 }
 
 static jj_core_t *
@@ -74,7 +74,7 @@
 		(void)printf("%s\n", why);
 		return NULL;
 	}
-	/* What belongs to the run and not to the file. */
+	/* Values of this run, which no settings file gives. */
 	settings.core.incarnation = 1;
 	settings.core.member.incarnation = 1;
 	settings.core.ledger.incarnation = 1;
@@ -86,7 +86,7 @@
 }
 
 static void
-learn_server(jj_core_t *core)
+add_server(jj_core_t *core)
 {
 	jj_server_t server;
 
@@ -99,61 +99,62 @@
 	jj_core_learn_server(core, &server);
 }
 
-/** Ticks when the core asks for it; the request comes in between. */
+/** Sends ticks when the core needs them, and the request in between. */
 static void
-run(world_t *world)
+run(simulation_t *sim)
 {
 	jj_event_t tick = {.kind = JJ_EVENT_TICK};
 	bool sent = false;
 
-	while (world->now < END_MS && !world->answered) {
-		step(world, &tick);
-		if (!sent && world->now >= REQUEST_MS) {
-			send_request(world);
+	while (sim->now < END_MS && !sim->answered) {
+		handle_event(sim, &tick);
+		if (!sent && sim->now >= REQUEST_TIME_MS) {
+			send_request(sim);
 			sent = true;
 		}
-		world->now = jj_core_next(world->core) > world->now
-		    ? jj_core_next(world->core)
-		    : world->now + 1;
+		sim->now = jj_core_next(sim->core) > sim->now
+		    ? jj_core_next(sim->core)
+		    : sim->now + 1;
 	}
 }
 
 static void
-step(world_t *world, const jj_event_t *event)
+handle_event(simulation_t *sim, const jj_event_t *event)
 {
 	jj_actions_t actions = TAILQ_HEAD_INITIALIZER(actions);
 	jj_action_t *action;
 
-	jj_core_handle(world->core, event, world->now, &actions);
+	jj_core_handle(sim->core, event, sim->now, &actions);
 	while ((action = TAILQ_FIRST(&actions)) != NULL) {
 		TAILQ_REMOVE(&actions, action, link);
-		carry_out(world, action);
+		handle_action(sim, action);
 		jj_action_free(action);
 	}
 }
 
 static void
-carry_out(world_t *world, const jj_action_t *action)
+handle_action(simulation_t *sim, const jj_action_t *action)
 {
 	switch (action->kind) {
 	case JJ_ACTION_PLATFORM:
-		answer_platform(world, &action->body.platform);
+		simulate_platform(sim, &action->body.platform);
 		break;
 	case JJ_ACTION_CONFIG_ADOPTED:
 		(void)printf("%5lld ms  configuration %llu is in force\n",
-		    (long long)world->now,
+		    (long long)sim->now,
 		    (unsigned long long)action->body.adopted.version);
 		break;
 	case JJ_ACTION_BACKEND_START:
-		(void)printf("%5lld ms  request %llu goes to %s\n",
-		    (long long)world->now,
+		(void)printf("%5lld ms  request %llu is sent to %s\n",
+		    (long long)sim->now,
 		    (unsigned long long)action->body.start.request,
 		    action->body.start.server.text);
-		serve(world, &action->body.start);
+		simulate_server(sim, &action->body.start);
 		break;
 	case JJ_ACTION_ANSWER:
-		(void)printf("%5lld ms  request %llu is given up on (%d)\n",
-		    (long long)world->now,
+		(void)printf(
+		    "%5lld ms  request %llu is abandoned (reason %d)\n",
+		    (long long)sim->now,
 		    (unsigned long long)action->body.answer.request,
 		    (int)action->body.answer.reason);
 		break;
@@ -162,9 +163,9 @@
 	}
 }
 
-/** A platform that holds one object; lists and watches bring nothing. */
+/** Simulates a platform with one object; lists fail, watches get no answer. */
 static void
-answer_platform(world_t *world, const jj_platform_call_t *call)
+simulate_platform(simulation_t *sim, const jj_platform_call_t *call)
 {
 	jj_platform_result_t result;
 	jj_event_t event = {.kind = JJ_EVENT_PLATFORM};
@@ -182,32 +183,32 @@
 		result.value = jj_bytes_from_text(CONFIG);
 	}
 	event.body.platform = &result;
-	step(world, &event);
+	handle_event(sim, &event);
 	jj_bytes_free(&result.value);
 }
 
-/** The server answers with one whole body. */
+/** Simulates a server that sends its answer in one piece. */
 static void
-serve(world_t *world, const jj_backend_start_t *start)
+simulate_server(simulation_t *sim, const jj_backend_start_t *start)
 {
 	jj_event_t event = {.kind = JJ_EVENT_BACKEND};
 
 	event.body.backend.event.request = start->request;
 	event.body.backend.event.attempt = start->attempt;
 	event.body.backend.event.kind = JJ_BACKEND_FIRST;
-	step(world, &event);
-	world->now += SERVE_MS;
+	handle_event(sim, &event);
+	sim->now += SERVICE_TIME_MS;
 	event.body.backend.event.kind = JJ_BACKEND_DONE;
 	event.body.backend.event.tokens = 4;
 	event.body.backend.status = 200;
-	step(world, &event);
+	handle_event(sim, &event);
 	(void)printf(
-	    "%5lld ms  the caller has its answer\n", (long long)world->now);
-	world->answered = true;
+	    "%5lld ms  the caller receives its answer\n", (long long)sim->now);
+	sim->answered = true;
 }
 
 static void
-send_request(world_t *world)
+send_request(simulation_t *sim)
 {
 	jj_event_t event = {.kind = JJ_EVENT_REQUEST};
 	jj_request_t *request = &event.body.request.request;
@@ -219,6 +220,6 @@
 	request->output_tokens = 4;
 	event.body.request.path = "/v1/completions";
 	event.body.request.trace = "";
-	(void)printf("%5lld ms  request 1 comes in\n", (long long)world->now);
-	step(world, &event);
+	(void)printf("%5lld ms  request 1 arrives\n", (long long)sim->now);
+	handle_event(sim, &event);
 }
