--- a/src/ctl/ctl.h
+++ b/src/ctl/ctl.h
@@ -1,6 +1,6 @@
 /**
  * @file ctl.h
- * @brief What the commands of jujubectl share.
+ * @brief Types shared by the commands of jujubectl.
  */
 #ifndef JJ_CTL_CTL_H
 #define JJ_CTL_CTL_H
@@ -11,37 +11,39 @@
 
 #include "core/clock.h"
 
-/** How a command ended; the exit codes of jujubectl. */
+/** Outcome of a command; the values are the exit codes of jujubectl. */
 typedef enum {
 	JJ_CTL_OK = 0,
-	JJ_CTL_FAILED = 1, /**< refused, or failed by the system */
-	JJ_CTL_USAGE = 2, /**< wrong command line or file */
-	JJ_CTL_UNREACHABLE = 3, /**< no answer, and surely nothing was done */
-	JJ_CTL_UNKNOWN = 4, /**< it may or may not have been done */
+	JJ_CTL_FAILED = 1, /**< the system refused or failed it */
+	JJ_CTL_USAGE = 2, /**< invalid command line or file */
+	JJ_CTL_UNREACHABLE = 3, /**< no answer, nothing was changed */
+	JJ_CTL_UNKNOWN = 4, /**< it may or may not have run */
 } jj_ctl_exit_t;
 
-/** The options of all commands. */
+/** Options common to all commands. */
 typedef struct {
 	const char *callers; /**< IP:PORT of the callers' interface, or NULL */
-	const char *operators; /**< IP:PORT, or several by commas, or NULL */
+	const char *operators; /**< IP:PORT[,IP:PORT...], or NULL */
 	bool json; /**< print JSON instead of tables */
-	bool show_trace; /**< print the trace's id of a request */
-	jj_ms_t timeout_ms; /**< of one short request */
+	bool show_trace; /**< print the trace id of a request */
+	/** Of status and control requests; calls, completions, uploads and
+	 * downloads have none. */
+	jj_ms_t timeout_ms;
 } jj_ctl_t;
 
 /** One command. */
 typedef struct {
-	const char *group; /**< first word, or NULL when there is one only */
+	const char *group; /**< first of two words, or NULL */
 	const char *name;
 	const char *arguments; /**< as shown in the help */
 	const char *summary;
-	int least; /**< arguments */
-	int most;
-	const GOptionEntry *options; /**< of this command alone, or NULL */
+	int min_arguments;
+	int max_arguments;
+	const GOptionEntry *options; /**< of this command only, or NULL */
 	jj_ctl_exit_t (*run)(const jj_ctl_t *ctl, char **arguments);
 } jj_ctl_command_t;
 
-/* Each table ends with a row whose name is NULL. */
+/* Each table ends with a row that has a NULL name. */
 extern const jj_ctl_command_t jj_ctl_config_commands[];
 extern const jj_ctl_command_t jj_ctl_batch_commands[];
 extern const jj_ctl_command_t jj_ctl_request_commands[];
--- a/src/ctl/ctl_config.c
+++ b/src/ctl/ctl_config.c
@@ -17,17 +17,17 @@
 
 static const GOptionEntry patch_options[] = {
     {"base", 0, 0, G_OPTION_ARG_INT64, &patch_base,
-	"Version the patch was made against; 0: there is none yet", "N"},
+	"Version the patch is based on; 0: no configuration yet", "N"},
     {"operator", 0, 0, G_OPTION_ARG_STRING, &patch_operator,
-	"Name kept in the history (default: the user's name)", "NAME"},
+	"Name recorded in the history (default: the user's name)", "NAME"},
     {"key", 0, 0, G_OPTION_ARG_STRING, &patch_key,
-	"Idempotency key, to send a patch again safely", "KEY"},
+	"Idempotency key, to retry a patch safely", "KEY"},
     {NULL, 0, 0, G_OPTION_ARG_NONE, NULL, NULL, NULL},
 };
 
 static const GOptionEntry history_options[] = {
-    {"after", 0, 0, G_OPTION_ARG_INT64, &history_after,
-	"Only versions after this one", "N"},
+    {"after", 0, 0, G_OPTION_ARG_INT64, &history_after, "Only versions after N",
+	"N"},
     {NULL, 0, 0, G_OPTION_ARG_NONE, NULL, NULL, NULL},
 };
 
@@ -58,7 +58,7 @@
 static jj_ctl_exit_t read_config(const jj_ctl_t *, json_t **, char *, size_t);
 static jj_ctl_exit_t
 send_patch(const jj_ctl_t *, const char *, const char *, size_t);
-static void print_patched(const jj_ctl_t *, const json_t *);
+static void print_patch_result(const jj_ctl_t *, const json_t *);
 
 const jj_ctl_command_t jj_ctl_config_commands[] = {
     {"service", "list", "", "services of the configuration in force", 0, 0,
@@ -69,7 +69,7 @@
 	NULL, get_config},
     {"config", "patch", "FILE", "apply a JSON Merge Patch to --base N", 1, 1,
 	patch_options, patch_config},
-    {"config", "history", "", "versions, who made them, with which patch", 0, 0,
+    {"config", "history", "", "versions with their operator and patch", 0, 0,
 	history_options, show_history},
     {NULL, NULL, NULL, NULL, 0, 0, NULL, NULL},
 };
@@ -148,28 +148,27 @@
 static jj_ctl_exit_t
 patch_config(const jj_ctl_t *ctl, char **arguments)
 {
-	char made_up[JJ_CTL_KEY_SIZE];
+	char generated_key[JJ_CTL_KEY_SIZE];
 	const char *key = patch_key;
 	jj_ctl_exit_t outcome;
 	size_t size;
 	char *patch;
 
 	if (patch_base < 0) {
-		warnx("--base N is needed: the version that `config get` "
-		      "showed, 0 for the first");
+		warnx("--base N is required: the version that `config get` "
+		      "printed, 0 for the first");
 		return JJ_CTL_USAGE;
 	}
 	patch = jj_ctl_read_file(arguments[0], &size);
 	if (patch == NULL)
 		return JJ_CTL_USAGE;
 	if (key == NULL) {
-		jj_ctl_write_key(made_up);
-		key = made_up;
+		jj_ctl_generate_key(generated_key);
+		key = generated_key;
 	}
 	outcome = send_patch(ctl, key, patch, size);
 	if (outcome == JJ_CTL_UNKNOWN)
-		warnx("send it again safely: --base %" G_GINT64_FORMAT
-		      " --key %s",
+		warnx("to retry safely: --base %" G_GINT64_FORMAT " --key %s",
 		    patch_base, key);
 	g_free(patch);
 	return outcome;
@@ -187,19 +186,20 @@
 		(void)snprintf(path, sizeof(path),
 		    "/v1/config/history?after=%" G_GINT64_FORMAT,
 		    history_after);
-	outcome = jj_ctl_get(ctl, jj_ctl_operators(ctl), path, &rows);
+	outcome = jj_ctl_get(ctl, jj_ctl_operators_address(ctl), path, &rows);
 	if (outcome == JJ_CTL_OK)
 		jj_ctl_print_rows(ctl, rows, history_columns);
 	json_decref(rows);
 	return outcome;
 }
 
-/** The document in force, and its version from the ETag. */
+/** Gets the configuration in force; its version is in the ETag. */
 static jj_ctl_exit_t
-read_config(const jj_ctl_t *ctl, json_t **document, char *version, size_t room)
+read_config(
+    const jj_ctl_t *ctl, json_t **document, char *version, size_t version_size)
 {
 	jj_ctl_request_t request = {.method = "GET",
-	    .address = jj_ctl_operators(ctl),
+	    .address = jj_ctl_operators_address(ctl),
 	    .path = "/v1/config",
 	    .timeout_ms = ctl->timeout_ms};
 	jj_ctl_response_t response;
@@ -209,11 +209,11 @@
 	if (request.address == NULL)
 		return JJ_CTL_USAGE;
 	jj_ctl_http_send(&request, &response);
-	outcome = jj_ctl_judge(&response, false);
+	outcome = jj_ctl_check_response(&response, false);
 	if (outcome == JJ_CTL_OK) {
 		*document =
 		    json_loadb(response.body->str, response.body->len, 0, NULL);
-		(void)g_strlcpy(version, response.etag, room);
+		(void)g_strlcpy(version, response.etag, version_size);
 		(void)g_strdelimit(version, "\"", ' ');
 		(void)g_strstrip(version);
 		if (*document == NULL) {
@@ -229,13 +229,13 @@
 send_patch(const jj_ctl_t *ctl, const char *key, const char *patch, size_t size)
 {
 	char match[40];
-	const char *who =
+	const char *operator_name =
 	    patch_operator != NULL ? patch_operator : g_get_user_name();
 	jj_ctl_request_t request = {.method = "PATCH",
-	    .address = jj_ctl_operators(ctl),
+	    .address = jj_ctl_operators_address(ctl),
 	    .path = "/v1/config",
 	    .headers = {{"If-Match", match}, {"Idempotency-Key", key},
-		{"Jujube-Operator", who},
+		{"Jujube-Operator", operator_name},
 		{"Content-Type", "application/merge-patch+json"}},
 	    .body = patch,
 	    .body_size = size,
@@ -247,15 +247,15 @@
 		return JJ_CTL_USAGE;
 	(void)snprintf(
 	    match, sizeof(match), "\"%" G_GINT64_FORMAT "\"", patch_base);
-	outcome = jj_ctl_ask(&request, true, &answer);
+	outcome = jj_ctl_fetch_json(&request, true, &answer);
 	if (outcome == JJ_CTL_OK)
-		print_patched(ctl, answer);
+		print_patch_result(ctl, answer);
 	json_decref(answer);
 	return outcome;
 }
 
 static void
-print_patched(const jj_ctl_t *ctl, const json_t *answer)
+print_patch_result(const jj_ctl_t *ctl, const json_t *answer)
 {
 	if (ctl->json)
 		jj_ctl_print_json(answer);
--- a/src/ctl/ctl_http.c
+++ b/src/ctl/ctl_http.c
@@ -1,6 +1,6 @@
 /**
  * @file ctl_http.c
- * @brief One HTTP request at a time, on libcurl's easy interface.
+ * @brief Blocking HTTP client on libcurl's easy interface.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -10,14 +10,14 @@
 
 #include "ctl/ctl_http.h"
 
-/** A VM that does not take a connection within this is out of reach, ms. */
+/** Maximum time to connect to a VM, ms. */
 #define CONNECT_TIMEOUT_MS 3000L
-/** A long transfer without a byte for so long has died, s. */
-#define SILENCE_S 120L
-/** Bytes of a megabyte, for the progress line. */
+/** A transfer that moves no byte for this time is aborted, s. */
+#define STALL_TIMEOUT_S 120L
+/** Bytes per megabyte, for the progress line. */
 #define MEGABYTE 1e6
 
-/** A transfer under way. */
+/** A transfer in progress. */
 typedef struct {
 	CURL *curl;
 	const jj_ctl_request_t *request;
@@ -28,12 +28,12 @@
 static struct curl_slist *build_headers(const jj_ctl_request_t *);
 static void set_common(transfer_t *, const char *, struct curl_slist *);
 static void set_body(transfer_t *);
-static void take_end(transfer_t *, CURLcode, const char *);
+static void record_result(transfer_t *, CURLcode, const char *);
 static size_t on_header(char *, size_t, size_t, void *);
 static size_t on_body(char *, size_t, size_t, void *);
 static size_t on_read(char *, size_t, size_t, void *);
 static int on_progress(void *, curl_off_t, curl_off_t, curl_off_t, curl_off_t);
-static bool read_field(const char *, size_t, const char *, char *, size_t);
+static bool read_header(const char *, size_t, const char *, char *, size_t);
 
 void
 jj_ctl_http_send(const jj_ctl_request_t *request, jj_ctl_response_t *response)
@@ -48,7 +48,7 @@
 	memset(response, 0, sizeof(*response));
 	response->body = g_string_new("");
 	if (transfer.curl == NULL) {
-		response->end = JJ_CTL_HTTP_NOT_SENT;
+		response->result = JJ_CTL_HTTP_NOT_SENT;
 		goto out;
 	}
 	(void)curl_easy_setopt(transfer.curl, CURLOPT_ERRORBUFFER, why);
@@ -57,7 +57,7 @@
 	code = curl_easy_perform(transfer.curl);
 	if (transfer.shows_progress)
 		(void)fputc('\n', stderr);
-	take_end(&transfer, code, why);
+	record_result(&transfer, code, why);
 	curl_easy_cleanup(transfer.curl);
 out:
 	curl_slist_free_all(headers);
@@ -106,7 +106,7 @@
 	(void)curl_easy_setopt(
 	    curl, CURLOPT_TIMEOUT_MS, (long)request->timeout_ms);
 	(void)curl_easy_setopt(curl, CURLOPT_LOW_SPEED_LIMIT, 1L);
-	(void)curl_easy_setopt(curl, CURLOPT_LOW_SPEED_TIME, SILENCE_S);
+	(void)curl_easy_setopt(curl, CURLOPT_LOW_SPEED_TIME, STALL_TIMEOUT_S);
 	(void)curl_easy_setopt(curl, CURLOPT_HEADERFUNCTION, on_header);
 	(void)curl_easy_setopt(curl, CURLOPT_HEADERDATA, transfer);
 	(void)curl_easy_setopt(curl, CURLOPT_WRITEFUNCTION, on_body);
@@ -142,7 +142,7 @@
 }
 
 static void
-take_end(transfer_t *transfer, CURLcode code, const char *why)
+record_result(transfer_t *transfer, CURLcode code, const char *why)
 {
 	jj_ctl_response_t *response = transfer->response;
 	long sent = 0;
@@ -154,11 +154,11 @@
 	    why[0] != '\0' ? why : curl_easy_strerror(code),
 	    sizeof(response->why));
 	if (code == CURLE_OK)
-		response->end = JJ_CTL_HTTP_WHOLE;
+		response->result = JJ_CTL_HTTP_COMPLETE;
 	else if (sent == 0)
-		response->end = JJ_CTL_HTTP_NOT_SENT;
+		response->result = JJ_CTL_HTTP_NOT_SENT;
 	else
-		response->end = JJ_CTL_HTTP_BROKEN;
+		response->result = JJ_CTL_HTTP_INCOMPLETE;
 }
 
 static size_t
@@ -169,11 +169,11 @@
 	char seconds[16];
 
 	size *= count;
-	(void)read_field(
+	(void)read_header(
 	    line, size, "ETag:", response->etag, sizeof(response->etag));
-	(void)read_field(line, size, "Content-Type:", response->content_type,
+	(void)read_header(line, size, "Content-Type:", response->content_type,
 	    sizeof(response->content_type));
-	if (read_field(line, size, "Retry-After:", seconds, sizeof(seconds)))
+	if (read_header(line, size, "Retry-After:", seconds, sizeof(seconds)))
 		response->retry_after_ms = 1000 * (jj_ms_t)atol(seconds);
 	return size;
 }
@@ -218,10 +218,10 @@
 	return 0;
 }
 
-/** Copies a header's value without blanks around it; false: another one. */
+/** Copies the trimmed value of header @p name; false: another header. */
 static bool
-read_field(
-    const char *line, size_t size, const char *name, char *value, size_t room)
+read_header(const char *line, size_t size, const char *name, char *value,
+    size_t value_size)
 {
 	size_t length = strlen(name);
 	char *text;
@@ -229,7 +229,7 @@
 	if (size < length || g_ascii_strncasecmp(line, name, length) != 0)
 		return false;
 	text = g_strndup(line + length, size - length);
-	(void)g_strlcpy(value, g_strstrip(text), room);
+	(void)g_strlcpy(value, g_strstrip(text), value_size);
 	g_free(text);
 	return true;
 }
--- a/src/ctl/ctl_http.h
+++ b/src/ctl/ctl_http.h
@@ -1,10 +1,10 @@
 /**
  * @file ctl_http.h
- * @brief One HTTP request at a time, on libcurl's easy interface.
+ * @brief Blocking HTTP client on libcurl's easy interface.
  *
- * Each request has a connection of its own: libcurl repeats a request by
- * itself only on a connection it reuses, and a repeat that nobody asked for
- * could run a non-idempotent call twice.
+ * Each request uses a new connection: libcurl may resend a request without
+ * being asked when a reused connection fails, which could run a non-idempotent
+ * call twice.
  */
 #ifndef JJ_CTL_CTL_HTTP_H
 #define JJ_CTL_CTL_HTTP_H
@@ -14,49 +14,53 @@
 
 #include "ctl/ctl.h"
 
-/** Most extra headers of a request. */
+/** Maximum number of extra headers of a request, with the end marker. */
 #define JJ_CTL_HEADERS_MAX 8
 
-/** A header that is left out when its value is NULL. */
+/** A header; omitted when its value is NULL. */
 typedef struct {
 	const char *name;
 	const char *value;
 } jj_ctl_header_t;
 
-/** What becomes of a piece of a streamed answer; false stops the transfer. */
-typedef bool (*jj_ctl_data_t)(void *ctx, const char *data, size_t size);
+/** Receives part of a streamed answer; false stops the transfer. */
+typedef bool (*jj_ctl_data_callback_t)(
+    void *ctx, const char *data, size_t size);
 
 typedef struct {
 	const char *method;
 	const char *address; /**< IP:PORT */
-	const char *path; /**< with the query */
-	jj_ctl_header_t headers[JJ_CTL_HEADERS_MAX]; /**< to a NULL name */
+	const char *path; /**< path and query string */
+	jj_ctl_header_t headers[JJ_CTL_HEADERS_MAX]; /**< NULL name: end */
 	const char *body; /**< or NULL */
 	size_t body_size; /**< bytes */
-	FILE *upload; /**< body read from here instead, or NULL */
-	jj_ms_t timeout_ms; /**< whole request; 0: only a silence ends it */
-	jj_ctl_data_t on_data; /**< of a 200; NULL: the body is kept */
+	FILE *upload; /**< source of the body instead, or NULL */
+	jj_ms_t timeout_ms; /**< whole request; 0: only the stall timeout */
+	jj_ctl_data_callback_t on_data; /**< for a 200; NULL: body stored */
 	void *ctx;
 } jj_ctl_request_t;
 
-/** How a request ended. */
+/** Transport result of a request. */
 typedef enum {
-	JJ_CTL_HTTP_WHOLE, /**< a whole answer */
-	JJ_CTL_HTTP_NOT_SENT, /**< surely no byte reached the VM */
-	JJ_CTL_HTTP_BROKEN, /**< sent, but no whole answer came back */
-} jj_ctl_http_end_t;
+	JJ_CTL_HTTP_COMPLETE, /**< complete answer received */
+	JJ_CTL_HTTP_NOT_SENT, /**< no byte was sent to the VM */
+	JJ_CTL_HTTP_INCOMPLETE, /**< sent, answer missing or cut off */
+} jj_ctl_http_result_t;
 
 typedef struct {
-	jj_ctl_http_end_t end;
-	long status; /**< 0: none came */
+	jj_ctl_http_result_t result;
+	long status; /**< HTTP status; 0: none received */
 	GString *body;
 	char etag[40];
 	char content_type[96];
-	jj_ms_t retry_after_ms; /**< 0: none told */
-	char why[256]; /**< of an answer that is not whole */
+	jj_ms_t retry_after_ms; /**< 0: not given */
+	char why[256]; /**< error text when the answer is not complete */
 } jj_ctl_response_t;
 
-/** Sends a request and waits for its end; clear the response afterwards. */
+/**
+ * Sends a request and waits until it has ended; free the response with
+ * jj_ctl_http_clear.
+ */
 void
 jj_ctl_http_send(const jj_ctl_request_t *request, jj_ctl_response_t *response);
 /** Frees what the response owns. */
--- a/src/ctl/ctl_print.c
+++ b/src/ctl/ctl_print.c
@@ -1,6 +1,6 @@
 /**
  * @file ctl_print.c
- * @brief Prints JSON as it is, or as an aligned table.
+ * @brief Prints JSON values as JSON or as aligned tables.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -8,10 +8,10 @@
 
 #include "ctl/ctl_print.h"
 
-/** Most columns of a table. */
+/** Maximum number of columns of a table. */
 #define COLUMNS_MAX 16
-/** Blanks between columns. */
-#define GAP 2
+/** Spaces between columns. */
+#define COLUMN_GAP 2
 
 static size_t count_columns(const jj_ctl_column_t *);
 static void widen(glong *, const char *);
@@ -19,7 +19,7 @@
 static void print_column(const char *, size_t, size_t, glong);
 
 const json_t *
-jj_ctl_find(const json_t *object, const char *path)
+jj_ctl_find_member(const json_t *object, const char *path)
 {
 	char **keys = g_strsplit(path, ".", -1);
 	size_t i;
@@ -31,7 +31,7 @@
 }
 
 char *
-jj_ctl_text(const json_t *value)
+jj_ctl_format_value(const json_t *value)
 {
 	char *text;
 	char *at;
@@ -47,7 +47,7 @@
 		text = g_strdup_printf("%g", json_real_value(value));
 	else
 		text = json_dumps(value, JSON_ENCODE_ANY | JSON_COMPACT);
-	/* A name from outside could hold a terminal's control sequences. */
+	/* Names come from outside and may hold terminal control sequences. */
 	for (at = text; *at != '\0'; at++) {
 		if (g_ascii_iscntrl(*at))
 			*at = '?';
@@ -80,8 +80,8 @@
 		widen(&widths[column], columns[column].heading);
 		json_array_foreach(rows, i, row)
 		{
-			text =
-			    jj_ctl_text(jj_ctl_find(row, columns[column].path));
+			text = jj_ctl_format_value(
+			    jj_ctl_find_member(row, columns[column].path));
 			widen(&widths[column], text);
 			g_free(text);
 		}
@@ -92,8 +92,8 @@
 	json_array_foreach(rows, i, row)
 	{
 		for (column = 0; column < count; column++) {
-			text =
-			    jj_ctl_text(jj_ctl_find(row, columns[column].path));
+			text = jj_ctl_format_value(
+			    jj_ctl_find_member(row, columns[column].path));
 			print_column(text, column, count, widths[column]);
 			g_free(text);
 		}
@@ -115,8 +115,9 @@
 	for (column = columns; column->heading != NULL; column++)
 		widen(&width, column->heading);
 	for (column = columns; column->heading != NULL; column++) {
-		text = jj_ctl_text(jj_ctl_find(object, column->path));
-		print_cell(column->heading, width + GAP);
+		text = jj_ctl_format_value(
+		    jj_ctl_find_member(object, column->path));
+		print_cell(column->heading, width + COLUMN_GAP);
 		(void)printf("%s\n", text);
 		g_free(text);
 	}
@@ -141,7 +142,7 @@
 		*width = length;
 }
 
-/** Counts characters, not bytes: names may hold letters beyond ASCII. */
+/** Pads by characters, not bytes: names may hold non-ASCII letters. */
 static void
 print_cell(const char *text, glong width)
 {
@@ -151,13 +152,13 @@
 	    "%s%*s", text, length < width ? (int)(width - length) : 0, "");
 }
 
-/** The last column is not padded and ends the line. */
+/** Prints one cell of a row; the last is not padded and ends the line. */
 static void
 print_column(const char *text, size_t column, size_t count, glong width)
 {
 	bool last = column == count - 1;
 
-	print_cell(text, last ? 0 : width + GAP);
+	print_cell(text, last ? 0 : width + COLUMN_GAP);
 	if (last)
 		(void)putchar('\n');
 }
--- a/src/ctl/ctl_print.h
+++ b/src/ctl/ctl_print.h
@@ -1,6 +1,6 @@
 /**
  * @file ctl_print.h
- * @brief Prints JSON as it is, or as an aligned table.
+ * @brief Prints JSON values as JSON or as aligned tables.
  */
 #ifndef JJ_CTL_CTL_PRINT_H
 #define JJ_CTL_CTL_PRINT_H
@@ -9,18 +9,18 @@
 
 #include "ctl/ctl.h"
 
-/** A column: its heading, and where its value is, such as `counts.total`. */
+/** A column: heading and path of its value, such as `counts.total`. */
 typedef struct {
 	const char *heading;
 	const char *path;
 } jj_ctl_column_t;
 
-/** A member of an object by its path of keys, or NULL. */
-const json_t *jj_ctl_find(const json_t *object, const char *path);
-/** A value as one line of text without control characters; g_free it. */
-char *jj_ctl_text(const json_t *value);
+/** The member of an object at a path of keys, or NULL. */
+const json_t *jj_ctl_find_member(const json_t *object, const char *path);
+/** A value as one line without control characters; free it with g_free. */
+char *jj_ctl_format_value(const json_t *value);
 
-/** Prints JSON, indented. */
+/** Prints indented JSON. */
 void jj_ctl_print_json(const json_t *json);
 /**
  * Prints an array of objects: a table, or the array itself with --json.
@@ -28,7 +28,7 @@
  */
 void jj_ctl_print_rows(
     const jj_ctl_t *ctl, const json_t *rows, const jj_ctl_column_t *columns);
-/** Prints one object as lines of heading and value, or as JSON. */
+/** Prints one object, one heading and value a line, or as JSON. */
 void jj_ctl_print_fields(
     const jj_ctl_t *ctl, const json_t *object, const jj_ctl_column_t *columns);
 
--- a/src/ctl/ctl_request.c
+++ b/src/ctl/ctl_request.c
@@ -29,15 +29,15 @@
     {"team", 0, 0, G_OPTION_ARG_STRING, &call_team,
 	"Team the request is counted for", "NAME"},
     {"deadline", 0, 0, G_OPTION_ARG_INT64, &call_deadline,
-	"Time until the answer is of no use", "MS"},
+	"Deadline for the answer, from now", "MS"},
     {NULL, 0, 0, G_OPTION_ARG_NONE, NULL, NULL, NULL},
 };
 
 static const GOptionEntry complete_options[] = {
     {"stream", 0, 0, G_OPTION_ARG_NONE, &complete_streams,
-	"Print the answer while it comes", NULL},
+	"Print the answer as it arrives", NULL},
     {"max-tokens", 0, 0, G_OPTION_ARG_INT64, &complete_tokens,
-	"Most tokens of the answer", "N"},
+	"Maximum number of tokens of the answer", "N"},
     {"team", 0, 0, G_OPTION_ARG_STRING, &complete_team,
 	"Team the request is counted for", "NAME"},
     {NULL, 0, 0, G_OPTION_ARG_NONE, NULL, NULL, NULL},
@@ -55,15 +55,15 @@
 const jj_ctl_command_t jj_ctl_request_commands[] = {
     {NULL, "call", "SERVICE PATH", "call a plain service once", 2, 2,
 	call_options, call_service},
-    {NULL, "complete", "MODEL PROMPT", "ask a model for a completion", 2, 2,
-	complete_options, complete},
+    {NULL, "complete", "MODEL PROMPT", "request a completion from a model", 2,
+	2, complete_options, complete},
     {NULL, NULL, NULL, NULL, 0, 0, NULL, NULL},
 };
 
 static jj_ctl_exit_t
 call_service(const jj_ctl_t *ctl, char **arguments)
 {
-	char made_up[JJ_CTL_KEY_SIZE];
+	char generated_key[JJ_CTL_KEY_SIZE];
 	const char *key = call_key;
 	jj_ctl_exit_t outcome;
 	size_t size;
@@ -72,12 +72,12 @@
 	if (body == NULL)
 		return JJ_CTL_USAGE;
 	if (key == NULL) {
-		jj_ctl_write_key(made_up);
-		key = made_up;
+		jj_ctl_generate_key(generated_key);
+		key = generated_key;
 	}
 	outcome = send_call(ctl, arguments, key, body, size);
 	if (outcome == JJ_CTL_UNKNOWN)
-		warnx("to ask again without a second run: --key %s", key);
+		warnx("to retry without a second run: --key %s", key);
 	g_free(body);
 	return outcome;
 }
@@ -88,7 +88,7 @@
 	char trace[JJ_TRACE_PARENT_SIZE];
 	char *body = write_prompt(arguments[0], arguments[1]);
 	jj_ctl_request_t request = {.method = "POST",
-	    .address = jj_ctl_callers(ctl),
+	    .address = jj_ctl_callers_address(ctl),
 	    .path = "/v1/completions",
 	    .headers = {{"Content-Type", "application/json"},
 		{"Jujube-Team", complete_team}, {"traceparent", trace}},
@@ -104,7 +104,7 @@
 		outcome = jj_ctl_stream(&request);
 		goto out;
 	}
-	outcome = jj_ctl_ask(&request, false, &answer);
+	outcome = jj_ctl_fetch_json(&request, false, &answer);
 	if (outcome == JJ_CTL_OK)
 		outcome = print_answer(ctl, answer);
 	json_decref(answer);
@@ -120,15 +120,15 @@
 	const char *slash = arguments[1][0] == '/' ? "" : "/";
 	char *path = g_strdup_printf(
 	    "/services/%s%s%s", arguments[0], slash, arguments[1]);
-	char *wait = call_deadline > 0
+	char *deadline_ms = call_deadline > 0
 	    ? g_strdup_printf("%" G_GINT64_FORMAT, call_deadline)
 	    : NULL;
 	char trace[JJ_TRACE_PARENT_SIZE];
 	jj_ctl_request_t request = {.method = "POST",
-	    .address = jj_ctl_callers(ctl),
+	    .address = jj_ctl_callers_address(ctl),
 	    .path = path,
 	    .headers = {{"Idempotency-Key", key}, {"Jujube-Team", call_team},
-		{"Jujube-Deadline-Ms", wait}, {"traceparent", trace},
+		{"Jujube-Deadline-Ms", deadline_ms}, {"traceparent", trace},
 		{"Content-Type", "application/json"}},
 	    .body = body,
 	    .body_size = size};
@@ -138,12 +138,12 @@
 	if (request.address != NULL) {
 		begin_trace(ctl, trace);
 		jj_ctl_http_send(&request, &response);
-		outcome = jj_ctl_judge(&response, true);
+		outcome = jj_ctl_check_response(&response, true);
 		if (outcome == JJ_CTL_OK)
 			(void)printf("%s\n", response.body->str);
 		jj_ctl_http_clear(&response);
 	}
-	g_free(wait);
+	g_free(deadline_ms);
 	g_free(path);
 	return outcome;
 }
@@ -188,14 +188,14 @@
 		return JJ_CTL_OK;
 	}
 	if (text == NULL) {
-		warnx("the answer holds no text");
+		warnx("the answer contains no text");
 		return JJ_CTL_FAILED;
 	}
 	(void)printf("%s\n", text);
 	return JJ_CTL_OK;
 }
 
-/** Begins a trace here, so that its id is known before the answer. */
+/** Starts the trace in the client: its id is known before the answer. */
 static void
 begin_trace(const jj_ctl_t *ctl, char *text)
 {
--- a/src/ctl/ctl_settings.c
+++ b/src/ctl/ctl_settings.c
@@ -39,7 +39,7 @@
 		return JJ_CTL_OK;
 	}
 	if (arguments[0] == NULL) {
-		warnx("name FILE, or ask for --table");
+		warnx("no FILE given; use --table for the list of settings");
 		return JJ_CTL_USAGE;
 	}
 	if (!jj_settings_load(&settings, arguments[0], why, sizeof(why))) {
--- a/src/ctl/ctl_show.c
+++ b/src/ctl/ctl_show.c
@@ -1,6 +1,7 @@
 /**
  * @file ctl_show.c
- * @brief Commands that show one VM's view of the system, or drain it.
+ * @brief Commands that show one VM's view of the system, and operator actions:
+ * release a ledger slot, drain the VM.
  */
 #include <err.h>
 #include <stdio.h>
@@ -70,17 +71,17 @@
 static jj_ctl_exit_t post(const jj_ctl_t *, const char *, json_t **);
 
 const jj_ctl_command_t jj_ctl_show_commands[] = {
-    {NULL, "status", "", "the VM in short", 0, 0, NULL, show_status},
-    {NULL, "vms", "", "VMs of the system as this VM sees them", 0, 0, NULL,
+    {NULL, "status", "", "summary of the VM's state", 0, 0, NULL, show_status},
+    {NULL, "vms", "", "VMs of the system as known to this VM", 0, 0, NULL,
 	show_vms},
-    {NULL, "servers", "", "backend servers as this VM sees them", 0, 0, NULL,
+    {NULL, "servers", "", "backend servers as known to this VM", 0, 0, NULL,
 	show_servers},
     {"ledger", "status", "", "homes and witnesses of idempotency keys", 0, 0,
 	NULL, show_ledger},
     {"ledger", "release", "SLOT",
-	"say that the VMs that held a slot are dead for good", 1, 1, NULL,
+	"confirm that the VMs that held a slot never return", 1, 1, NULL,
 	release_slot},
-    {NULL, "drain", "", "planned stop of the VM: finish, hand over, end", 0, 0,
+    {NULL, "drain", "", "planned stop of the VM: finish, hand over, exit", 0, 0,
 	NULL, drain},
     {NULL, "metrics", "", "the VM's counters as text", 0, 0, NULL,
 	show_metrics},
@@ -91,8 +92,8 @@
 show_status(const jj_ctl_t *ctl, char **arguments)
 {
 	json_t *status;
-	jj_ctl_exit_t outcome =
-	    jj_ctl_get(ctl, jj_ctl_operators(ctl), "/v1/status", &status);
+	jj_ctl_exit_t outcome = jj_ctl_get(
+	    ctl, jj_ctl_operators_address(ctl), "/v1/status", &status);
 
 	(void)arguments;
 	if (outcome == JJ_CTL_OK)
@@ -122,8 +123,8 @@
 	json_t *slots;
 	json_t *slot;
 	size_t i;
-	jj_ctl_exit_t outcome =
-	    jj_ctl_get(ctl, jj_ctl_operators(ctl), "/v1/status", &status);
+	jj_ctl_exit_t outcome = jj_ctl_get(
+	    ctl, jj_ctl_operators_address(ctl), "/v1/status", &status);
 
 	(void)arguments;
 	slots = json_object_get(json_object_get(status, "ledger"), "slots");
@@ -148,7 +149,7 @@
 	jj_ctl_exit_t outcome;
 
 	if (end == arguments[0] || *end != '\0') {
-		warnx("SLOT must be a number of `ledger status`");
+		warnx("SLOT must be a slot number from `ledger status`");
 		return JJ_CTL_USAGE;
 	}
 	(void)snprintf(path, sizeof(path), "/v1/ledger/%lu/release", slot);
@@ -179,7 +180,7 @@
 show_metrics(const jj_ctl_t *ctl, char **arguments)
 {
 	jj_ctl_request_t request = {.method = "GET",
-	    .address = jj_ctl_operators(ctl),
+	    .address = jj_ctl_operators_address(ctl),
 	    .path = "/metrics",
 	    .timeout_ms = ctl->timeout_ms};
 	jj_ctl_response_t response;
@@ -189,20 +190,20 @@
 	if (request.address == NULL)
 		return JJ_CTL_USAGE;
 	jj_ctl_http_send(&request, &response);
-	outcome = jj_ctl_judge(&response, false);
+	outcome = jj_ctl_check_response(&response, false);
 	if (outcome == JJ_CTL_OK)
 		(void)fwrite(response.body->str, 1, response.body->len, stdout);
 	jj_ctl_http_clear(&response);
 	return outcome;
 }
 
-/** One array of the VM's status as a table. */
+/** Prints one array of the VM's status as a table. */
 static jj_ctl_exit_t
 show_part(const jj_ctl_t *ctl, const char *part, const jj_ctl_column_t *columns)
 {
 	json_t *status;
-	jj_ctl_exit_t outcome =
-	    jj_ctl_get(ctl, jj_ctl_operators(ctl), "/v1/status", &status);
+	jj_ctl_exit_t outcome = jj_ctl_get(
+	    ctl, jj_ctl_operators_address(ctl), "/v1/status", &status);
 
 	if (outcome == JJ_CTL_OK)
 		jj_ctl_print_rows(ctl, json_object_get(status, part), columns);
@@ -214,12 +215,12 @@
 post(const jj_ctl_t *ctl, const char *path, json_t **answer)
 {
 	jj_ctl_request_t request = {.method = "POST",
-	    .address = jj_ctl_operators(ctl),
+	    .address = jj_ctl_operators_address(ctl),
 	    .path = path,
 	    .timeout_ms = ctl->timeout_ms};
 
 	*answer = NULL;
 	if (request.address == NULL)
 		return JJ_CTL_USAGE;
-	return jj_ctl_ask(&request, true, answer);
+	return jj_ctl_fetch_json(&request, true, answer);
 }
--- a/src/ctl/ctl_submit.c
+++ b/src/ctl/ctl_submit.c
@@ -1,6 +1,6 @@
 /**
  * @file ctl_submit.c
- * @brief `batch submit`: uploads a file of items, then submits the job.
+ * @brief `batch submit`: uploads a file of items and submits it as a job.
  */
 #include <err.h>
 #include <stdio.h>
@@ -20,17 +20,17 @@
 
 const GOptionEntry jj_ctl_submit_options[] = {
     {"key", 0, 0, G_OPTION_ARG_STRING, &submit_key,
-	"Idempotency key: the same one gives the same job", "KEY"},
+	"Idempotency key: the same key gives the same job", "KEY"},
     {"window", 0, 0, G_OPTION_ARG_STRING, &submit_window,
 	"Time until the job is due (default 24h)", "24h"},
     {"team", 0, 0, G_OPTION_ARG_STRING, &submit_team,
 	"Team the job is counted for", "NAME"},
     {"service", 0, 0, G_OPTION_ARG_STRING, &submit_service,
-	"Service of all items (default: each line's own)", "NAME"},
+	"Service of all items (default: given in each line)", "NAME"},
     {"endpoint", 0, 0, G_OPTION_ARG_STRING, &submit_endpoint,
 	"Path of all items (default /v1/completions)", "PATH"},
     {"file-id", 0, 0, G_OPTION_ARG_STRING, &submit_file_id,
-	"Submit a file uploaded before, in place of FILE", "ID"},
+	"Submit a file that was uploaded before, instead of FILE", "ID"},
     {NULL, 0, 0, G_OPTION_ARG_NONE, NULL, NULL, NULL},
 };
 
@@ -42,13 +42,13 @@
 jj_ctl_exit_t
 jj_ctl_job_submit(const jj_ctl_t *ctl, char **arguments)
 {
-	char made_up[JJ_CTL_KEY_SIZE];
+	char generated_key[JJ_CTL_KEY_SIZE];
 	const char *key = submit_key;
 	char *file = NULL;
 	jj_ctl_exit_t outcome = JJ_CTL_OK;
 
 	if ((arguments[0] == NULL) == (submit_file_id == NULL)) {
-		warnx("name either FILE or --file-id ID");
+		warnx("give either FILE or --file-id ID");
 		return JJ_CTL_USAGE;
 	}
 	if (submit_file_id != NULL)
@@ -58,27 +58,27 @@
 	if (file == NULL)
 		return outcome;
 	if (key == NULL) {
-		jj_ctl_write_key(made_up);
-		key = made_up;
+		jj_ctl_generate_key(generated_key);
+		key = generated_key;
 	}
 	outcome = submit(ctl, key, file);
-	/* A file uploaded again has another id and so is other content under
-	 * the same key: a resend must name the file it uploaded first. */
+	/* A second upload gets another file id, which would be different
+	 * content under the same key: a retry must use the first file id. */
 	if (outcome == JJ_CTL_UNKNOWN || outcome == JJ_CTL_UNREACHABLE)
-		warnx("to send it again: batch submit --file-id %s --key %s",
-		    file, key);
+		warnx(
+		    "to retry: batch submit --file-id %s --key %s", file, key);
 	else if (outcome == JJ_CTL_FAILED)
 		warnx("the file was uploaded as %s", file);
 	g_free(file);
 	return outcome;
 }
 
-/** @return the file's id; NULL with @p outcome: nothing was submitted. */
+/** @return the file's id; NULL when the upload failed, see @p outcome. */
 static char *
 upload(const jj_ctl_t *ctl, const char *path, jj_ctl_exit_t *outcome)
 {
 	jj_ctl_request_t request = {.method = "POST",
-	    .address = jj_ctl_callers(ctl),
+	    .address = jj_ctl_callers_address(ctl),
 	    .path = "/v1/files",
 	    .headers = {{"Jujube-Team", submit_team},
 		{"Content-Type", "application/jsonl"}}};
@@ -91,9 +91,9 @@
 	request.upload = open_file(path, &request.body_size);
 	if (request.upload == NULL)
 		return NULL;
-	/* A file that nobody submits runs nothing, so a lost answer of an
-	 * upload leaves no doubt: no job exists. */
-	*outcome = jj_ctl_ask(&request, false, &answer);
+	/* An upload alone starts no job, so its outcome is never unknown:
+	 * also after a lost answer no job exists. */
+	*outcome = jj_ctl_fetch_json(&request, false, &answer);
 	(void)fclose(request.upload);
 	id = g_strdup(json_string_value(json_object_get(answer, "id")));
 	json_decref(answer);
@@ -126,7 +126,7 @@
 {
 	char *body = write_request(file);
 	jj_ctl_request_t request = {.method = "POST",
-	    .address = jj_ctl_callers(ctl),
+	    .address = jj_ctl_callers_address(ctl),
 	    .path = "/v1/batches",
 	    .headers = {{"Idempotency-Key", key}, {"Jujube-Team", submit_team},
 		{"Content-Type", "application/json"}},
@@ -137,7 +137,7 @@
 	jj_ctl_exit_t outcome = JJ_CTL_USAGE;
 
 	if (request.address != NULL)
-		outcome = jj_ctl_ask(&request, true, &answer);
+		outcome = jj_ctl_fetch_json(&request, true, &answer);
 	if (outcome == JJ_CTL_OK)
 		jj_ctl_job_print(ctl, answer);
 	json_decref(answer);
--- a/src/ctl/ctl_trace.c
+++ b/src/ctl/ctl_trace.c
@@ -10,25 +10,25 @@
 #include "ctl/ctl_api.h"
 #include "ctl/ctl_print.h"
 
-/** Nanoseconds of a millisecond. */
+/** Nanoseconds per millisecond. */
 #define NS_PER_MS 1e6
-/** Blanks of one level of the tree. */
+/** Spaces per level of the tree. */
 #define INDENT 2
-/** Deeper is no request of ours: a broken or forged chain of parents. */
-#define DEPTH_MOST 32
+/** Deeper levels come from a corrupt or forged chain of parents only. */
+#define DEPTH_MAX 32
 
 static jj_ctl_exit_t show_trace(const jj_ctl_t *, char **);
-static jj_ctl_exit_t collect(const jj_ctl_t *, const char *, json_t *);
+static jj_ctl_exit_t collect_spans(const jj_ctl_t *, const char *, json_t *);
 static void add_spans(json_t *, json_t *, const char *);
 static bool has_span(const json_t *, const char *);
 static void print_children(const json_t *, const char *, double, int);
 static void print_span(const json_t *, double, int);
 static double read_time(const json_t *, const char *);
 static double find_start(const json_t *);
-static const char *text_of(const json_t *, const char *);
+static const char *get_string(const json_t *, const char *);
 
 const jj_ctl_command_t jj_ctl_trace_commands[] = {
-    {NULL, "trace", "ID", "hops of a request; --operators may name several VMs",
+    {NULL, "trace", "ID", "hops of a request; --operators may list several VMs",
 	1, 1, NULL, show_trace},
     {NULL, NULL, NULL, NULL, 0, 0, NULL, NULL},
 };
@@ -37,14 +37,14 @@
 show_trace(const jj_ctl_t *ctl, char **arguments)
 {
 	json_t *spans = json_array();
-	jj_ctl_exit_t outcome = collect(ctl, arguments[0], spans);
+	jj_ctl_exit_t outcome = collect_spans(ctl, arguments[0], spans);
 
 	if (outcome != JJ_CTL_OK) {
 		json_decref(spans);
 		return outcome;
 	}
 	if (json_array_size(spans) == 0) {
-		warnx("no VM asked holds spans of this trace any more");
+		warnx("none of the queried VMs has spans of this trace");
 		outcome = JJ_CTL_FAILED;
 	} else if (ctl->json) {
 		jj_ctl_print_json(spans);
@@ -55,9 +55,9 @@
 	return outcome;
 }
 
-/** Each VM holds the spans of its own hops: asks all that are named. */
+/** Queries all given VMs, as each one stores only spans of its own hops. */
 static jj_ctl_exit_t
-collect(const jj_ctl_t *ctl, const char *id, json_t *spans)
+collect_spans(const jj_ctl_t *ctl, const char *id, json_t *spans)
 {
 	jj_ctl_exit_t outcome = JJ_CTL_OK;
 	jj_ctl_exit_t last;
@@ -67,7 +67,7 @@
 	size_t answers = 0;
 	size_t i;
 
-	if (jj_ctl_operators(ctl) == NULL)
+	if (jj_ctl_operators_address(ctl) == NULL)
 		return JJ_CTL_USAGE;
 	addresses = g_strsplit(ctl->operators, ",", -1);
 	path = g_strdup_printf("/v1/traces/%s", id);
@@ -107,33 +107,33 @@
 
 	json_array_foreach(spans, i, span)
 	{
-		if (strcmp(text_of(span, "spanId"), id) == 0)
+		if (strcmp(get_string(span, "spanId"), id) == 0)
 			return true;
 	}
 	return false;
 }
 
-/** @p parent NULL: spans whose parent is not among those found. */
+/** Prints the children of @p parent; NULL: spans with no parent found. */
 static void
 print_children(const json_t *spans, const char *parent, double start, int depth)
 {
 	const json_t *span;
-	const char *its_parent;
+	const char *parent_id;
 	bool is_child;
 	size_t i;
 
-	if (depth > DEPTH_MOST)
+	if (depth > DEPTH_MAX)
 		return;
 	json_array_foreach(spans, i, span)
 	{
-		its_parent = text_of(span, "parentSpanId");
-		is_child = parent != NULL ? strcmp(its_parent, parent) == 0
-					  : !has_span(spans, its_parent);
+		parent_id = get_string(span, "parentSpanId");
+		is_child = parent != NULL ? strcmp(parent_id, parent) == 0
+					  : !has_span(spans, parent_id);
 		if (!is_child)
 			continue;
 		print_span(span, start, depth);
 		print_children(
-		    spans, text_of(span, "spanId"), start, depth + 1);
+		    spans, get_string(span, "spanId"), start, depth + 1);
 	}
 }
 
@@ -148,24 +148,24 @@
 
 	(void)printf("%9.3f ms %+10.3f ms  %*s%s", (begin - start) / NS_PER_MS,
 	    (end - begin) / NS_PER_MS, depth * INDENT, "",
-	    text_of(span, "name"));
+	    get_string(span, "name"));
 	json_array_foreach(json_object_get(span, "attributes"), i, attribute)
 	{
-		value =
-		    jj_ctl_text(jj_ctl_find(attribute, "value.stringValue"));
-		(void)printf(" %s=%s", text_of(attribute, "key"), value);
+		value = jj_ctl_format_value(
+		    jj_ctl_find_member(attribute, "value.stringValue"));
+		(void)printf(" %s=%s", get_string(attribute, "key"), value);
 		g_free(value);
 	}
-	if (json_integer_value(jj_ctl_find(span, "status.code")) != 0)
+	if (json_integer_value(jj_ctl_find_member(span, "status.code")) != 0)
 		(void)printf(" FAILED");
-	(void)printf(" vm=%s\n", text_of(span, "vm"));
+	(void)printf(" vm=%s\n", get_string(span, "vm"));
 }
 
-/** Nanoseconds since 1970; the text is a whole number. */
+/** Nanoseconds since 1970, from a string of decimal digits. */
 static double
 read_time(const json_t *span, const char *key)
 {
-	return (double)strtoull(text_of(span, key), NULL, 10);
+	return (double)strtoull(get_string(span, key), NULL, 10);
 }
 
 static double
@@ -186,7 +186,7 @@
 }
 
 static const char *
-text_of(const json_t *object, const char *key)
+get_string(const json_t *object, const char *key)
 {
 	const char *text = json_string_value(json_object_get(object, key));
 
--- a/src/ctl/main.c
+++ b/src/ctl/main.c
@@ -17,16 +17,16 @@
 #define EXIT_CODES                                                 \
 	"Exit codes:\n"                                            \
 	"  0  done\n"                                              \
-	"  1  refused, or failed by the system\n"                  \
-	"  2  wrong command line, file or settings\n"              \
+	"  1  the system refused or failed it\n"                   \
+	"  2  invalid command line, file or settings\n"            \
 	"  3  the VM cannot be reached, and nothing was changed\n" \
-	"  4  outcome unknown: it may or may not have been done\n"
-#define ENVIRONMENT                                                        \
-	"Environment: JUJUBE_CALLERS and JUJUBE_OPERATORS stand for the\n" \
-	"options of the same name.\n"
-/** Of one short request unless --timeout says otherwise, s. */
+	"  4  outcome unknown: it may or may not have run\n"
+#define ENVIRONMENT                                                           \
+	"Environment: JUJUBE_CALLERS and JUJUBE_OPERATORS are the defaults\n" \
+	"of the options --callers and --operators.\n"
+/** Default of --timeout, s. */
 #define TIMEOUT_S 30
-/** Columns of a command with its arguments in the help. */
+/** Width of the column of commands and arguments in the help. */
 #define HELP_WIDTH 28
 
 static char *option_callers;
@@ -46,9 +46,9 @@
     {"show-trace", 0, 0, G_OPTION_ARG_NONE, &option_show_trace,
 	"Print the trace id of a request on standard error", NULL},
     {"timeout", 0, 0, G_OPTION_ARG_INT, &option_timeout,
-	"Give a short request up after", "SECONDS"},
+	"Timeout of a status or control request", "SECONDS"},
     {"version", 0, 0, G_OPTION_ARG_NONE, &option_version,
-	"Print the version and end", NULL},
+	"Print the version and exit", NULL},
     {NULL, 0, 0, G_OPTION_ARG_NONE, NULL, NULL, NULL},
 };
 
@@ -57,10 +57,10 @@
     jj_ctl_trace_commands, jj_ctl_settings_commands};
 #define TABLE_COUNT (sizeof(command_tables) / sizeof(command_tables[0]))
 
-static bool parse(int *, char ***, const jj_ctl_command_t *);
+static bool parse_options(int *, char ***, const jj_ctl_command_t *);
 static const jj_ctl_command_t *find_command(char **, int *);
 static bool matches(const jj_ctl_command_t *, char **);
-static jj_ctl_exit_t run(const jj_ctl_command_t *, int, char **);
+static jj_ctl_exit_t run_command(const jj_ctl_command_t *, int, char **);
 static char *list_commands(void);
 static const char *or_environment(const char *, const char *);
 
@@ -72,7 +72,7 @@
 
 	(void)setlocale(LC_ALL, "");
 	(void)signal(SIGPIPE, SIG_IGN);
-	if (!parse(&argc, &argv, NULL))
+	if (!parse_options(&argc, &argv, NULL))
 		return JJ_CTL_USAGE;
 	if (option_version) {
 		(void)printf("jujubectl %s\n", JJ_VERSION);
@@ -86,24 +86,24 @@
 	}
 	argc -= words;
 	argv += words;
-	if (!parse(&argc, &argv, command))
+	if (!parse_options(&argc, &argv, command))
 		return JJ_CTL_USAGE;
-	return run(command, argc - 1, argv + 1);
+	return run_command(command, argc - 1, argv + 1);
 }
 
 /**
- * Without a command: the options before it, up to its first word. With one:
- * its own options and the common ones, anywhere behind it.
+ * @param command NULL: parses the common options before the command; else its
+ * own options and the common ones, anywhere after the command
  */
 static bool
-parse(int *argc, char ***argv, const jj_ctl_command_t *command)
+parse_options(int *argc, char ***argv, const jj_ctl_command_t *command)
 {
 	GOptionContext *context;
 	GError *error = NULL;
 	char *text = command == NULL
 	    ? g_strdup("COMMAND … - client of jujubeswitch")
 	    : g_strdup_printf("- %s", command->summary);
-	char *more = command == NULL
+	char *description = command == NULL
 	    ? list_commands()
 	    : g_strdup_printf("Usage: %s%s%s %s\n\n" EXIT_CODES,
 		  command->group != NULL ? command->group : "",
@@ -112,7 +112,7 @@
 	bool valid;
 
 	context = g_option_context_new(text);
-	g_option_context_set_description(context, more);
+	g_option_context_set_description(context, description);
 	g_option_context_set_strict_posix(context, command == NULL);
 	g_option_context_add_main_entries(context, common_options, NULL);
 	if (command != NULL && command->options != NULL)
@@ -124,12 +124,12 @@
 		g_error_free(error);
 	}
 	g_option_context_free(context);
-	g_free(more);
+	g_free(description);
 	g_free(text);
 	return valid;
 }
 
-/** @p words: how many words of the command line name the command. */
+/** @param words number of words that the command's name consists of */
 static const jj_ctl_command_t *
 find_command(char **arguments, int *words)
 {
@@ -160,7 +160,7 @@
 }
 
 static jj_ctl_exit_t
-run(const jj_ctl_command_t *command, int count, char **arguments)
+run_command(const jj_ctl_command_t *command, int count, char **arguments)
 {
 	jj_ctl_t ctl = {or_environment(option_callers, "JUJUBE_CALLERS"),
 	    or_environment(option_operators, "JUJUBE_OPERATORS"), option_json,
@@ -171,7 +171,7 @@
 		count--;
 		arguments++;
 	}
-	if (count < command->least || count > command->most) {
+	if (count < command->min_arguments || count > command->max_arguments) {
 		warnx("usage: %s%s%s %s",
 		    command->group != NULL ? command->group : "",
 		    command->group != NULL ? " " : "", command->name,
