--- a/src/adapters/settings.c
+++ b/src/adapters/settings.c
@@ -1,6 +1,6 @@
 /**
  * @file settings.c
- * @brief One table of keys drives reading, checking and describing.
+ * @brief Reads, checks and documents settings from one table of keys.
  */
 #include <inttypes.h>
 #include <stdio.h>
@@ -12,16 +12,16 @@
 #include "adapters/settings.h"
 #include "adapters/toml.h"
 
-/** Longest printed value in an error, bytes. */
+/** Size of a printed value in an error message, bytes. */
 #define VALUE_PRINT_MAX 96
-/** Longest dotted key in an error, bytes. */
+/** Size of a dotted key in an error message, bytes. */
 #define KEY_PRINT_MAX 128
-/** Most bytes of a call's body: it must fit a message between VMs. */
+/** Maximum body of a call, bytes: it must fit in a message between VMs. */
 #define BODY_BYTES_MAX 4194304
-/** Most seeds of one kind. */
+/** Maximum number of neighbours, and of servers, in a settings file. */
 #define SEEDS_MAX 4096
 
-/** What is wrong with a key that no table has. */
+/** Error text for a key that is not in the table of keys. */
 #define UNKNOWN_KEY "must be a known key; this one is not"
 
 #define SECOND 1000
@@ -47,24 +47,24 @@
 	const char *key;
 	key_type_t type;
 	size_t offset;
-	double least;
-	double most;
-	double initial;
+	double minimum;
+	double maximum;
+	double default_value;
 	bool required;
-	const char *reason; /**< what it is for, and why this default */
+	const char *reason; /**< purpose, and why it has this default */
 } setting_t;
 
-/** An array of tables, such as [[neighbours]]. */
+/** An array of TOML tables, such as [[neighbours]]. */
 typedef struct {
 	const char *table;
 	const setting_t *keys;
 	size_t key_count;
-	size_t size; /**< of one element, bytes */
+	size_t size; /**< of one array element, bytes */
 	size_t offset;
 	size_t count_offset;
-} list_t;
+} table_array_t;
 
-/** A relation between two times: lower * factor <= upper. */
+/** A required relation between two durations: lower * factor <= upper. */
 typedef struct {
 	const char *table;
 	const char *key;
@@ -75,22 +75,23 @@
 	const char *reason;
 } relation_t;
 
-/** Where the check stands, and where its first fault goes. */
+/** The name of the file, and the buffer for the first error found in it. */
 typedef struct {
 	const char *file;
-	char *why;
-	size_t why_size;
-} check_t;
-
-#define PLACE(member) offsetof(jj_settings_t, member)
-#define NUMBER(table, key, type, member, least, most, initial, reason)        \
-	{                                                                     \
-		table, key, type, PLACE(member), least, most, initial, false, \
-		    reason                                                    \
+	char *error_text;
+	size_t error_text_size;
+} error_sink_t;
+
+#define OFFSET(member) offsetof(jj_settings_t, member)
+#define NUMBER(                                                        \
+    table, key, type, member, minimum, maximum, default_value, reason) \
+	{                                                              \
+		table, key, type, OFFSET(member), minimum, maximum,    \
+		    default_value, false, reason                       \
 	}
-#define TEXT(table, key, type, member, required, reason)                   \
-	{                                                                  \
-		table, key, type, PLACE(member), 0, 0, 0, required, reason \
+#define TEXT(table, key, type, member, required, reason)                    \
+	{                                                                   \
+		table, key, type, OFFSET(member), 0, 0, 0, required, reason \
 	}
 #define SEED(key, type, owner, member, required, reason)                   \
 	{                                                                  \
@@ -99,12 +100,14 @@
 	}
 #define COUNT(array) (sizeof(array) / sizeof(*(array)))
 
-static bool read_document(const check_t *, jj_toml_t *, jj_settings_t *);
-static bool check_unknown(const check_t *, const jj_toml_node_t *);
-static bool check_table(const check_t *, const jj_toml_node_t *, const char *);
-static bool read_keys(const check_t *, const jj_toml_node_t *, jj_settings_t *);
-static bool read_key(const check_t *, const jj_toml_node_t *, const setting_t *,
-    const char *, char *);
+static bool read_document(const error_sink_t *, jj_toml_t *, jj_settings_t *);
+static bool check_unknown(const error_sink_t *, const jj_toml_node_t *);
+static bool
+check_table(const error_sink_t *, const jj_toml_node_t *, const char *);
+static bool
+read_keys(const error_sink_t *, const jj_toml_node_t *, jj_settings_t *);
+static bool read_key(const error_sink_t *, const jj_toml_node_t *,
+    const setting_t *, const char *, char *);
 static bool read_value(const jj_toml_node_t *, const setting_t *, char *);
 static bool read_number(const jj_toml_node_t *, const setting_t *, char *);
 static void store_number(const setting_t *, double, char *);
@@ -112,261 +115,275 @@
 static bool is_name(const char *, size_t);
 static bool is_address(const char *, size_t);
 static bool
-read_lists(const check_t *, const jj_toml_node_t *, jj_settings_t *);
-static bool
-read_list(const check_t *, const jj_toml_node_t *, const list_t *, char *);
-static bool read_element(
-    const check_t *, const jj_toml_node_t *, const list_t *, size_t, char *);
-static bool check_twins(const check_t *, const jj_toml_node_t *, const list_t *,
-    size_t, const char *);
-static bool
-check_relations(const check_t *, const jj_toml_node_t *, const jj_settings_t *);
+read_lists(const error_sink_t *, const jj_toml_node_t *, jj_settings_t *);
+static bool read_list(const error_sink_t *, const jj_toml_node_t *,
+    const table_array_t *, char *);
+static bool read_element(const error_sink_t *, const jj_toml_node_t *,
+    const table_array_t *, size_t, char *);
+static bool check_unique_name(const error_sink_t *, const jj_toml_node_t *,
+    const table_array_t *, size_t, const char *);
+static bool check_relations(
+    const error_sink_t *, const jj_toml_node_t *, const jj_settings_t *);
 static void describe_bounds(const setting_t *, char *, size_t);
 static void print_default(const setting_t *, char *, size_t);
-static bool
-fail(const check_t *, const jj_toml_node_t *, const char *, const char *);
+static bool set_error(
+    const error_sink_t *, const jj_toml_node_t *, const char *, const char *);
 static const setting_t *
-find_in(const setting_t *, size_t, const char *, const char *);
+find_setting(const setting_t *, size_t, const char *, const char *);
 static const setting_t *find_key(const char *, const char *);
-static bool is_table(const char *);
-static const list_t *find_list(const char *);
-static void fill_identity(jj_settings_t *);
+static bool is_known_table(const char *);
+static const table_array_t *find_list(const char *);
+static void copy_identity(jj_settings_t *);
 
 static const setting_t settings_keys[] = {
     TEXT("", "name", KEY_NAME, name, true,
-	"this VM, unique among all VMs of the system"),
-    TEXT("", "domain", KEY_NAME, domain, true, "its failure domain"),
-    TEXT("", "region", KEY_NAME, region, false, "for operators to read"),
+	"name of this VM, unique in the system"),
+    TEXT("", "domain", KEY_NAME, domain, true, "failure domain of this VM"),
+    TEXT("", "region", KEY_NAME, region, false,
+	"region name, for information only"),
     NUMBER("", "shards", KEY_U32, shards, 1, 64, 4,
-	"threads with a shard of state each; one per core of a small VM"),
+	"threads, one state shard each; default: one per core of a small VM"),
     TEXT("", "data_folder", KEY_PATH, data_folder, false,
-	"a small disk for bulk data; absent: nothing is kept here"),
+	"small disk for bulk data; absent: nothing is stored on disk"),
 
     TEXT("listen", "callers", KEY_ADDRESS, listen_callers, true,
-	"HTTP for callers, behind the platform's balancer"),
+	"HTTP for callers, behind the platform's load balancer"),
     TEXT("listen", "operators", KEY_ADDRESS, listen_operators, true,
-	"HTTP for operators and metrics; not for callers to reach"),
+	"HTTP for operators and metrics; callers must not reach it"),
     TEXT("listen", "neighbours", KEY_ADDRESS, listen_neighbours, true,
-	"messages between VMs; told to the neighbours as it stands here"),
+	"messages between VMs; sent to neighbours exactly as given here"),
 
     TEXT("listen", "ready", KEY_ADDRESS, listen_ready, false,
-	"where a balancer asks; absent: at the callers' address"),
+	"readiness checks of the balancer; absent: the callers' address"),
 
     TEXT("platform", "form", KEY_NAME, platform.form, false,
-	"the deployment whose language is spoken; absent: our own"),
+	"deployment whose API dialect is used; absent: our own"),
     TEXT("platform", "address", KEY_ADDRESS, platform.address, true,
 	"the platform's object API"),
     NUMBER("platform", "timeout_ms", KEY_MS, platform.timeout_ms, 50, MINUTE,
 	2000,
-	"silence that ends a call; answers begin in ms: 2 s is an outage"),
+	"call time-out without data; replies start in ms: 2 s is an outage"),
     TEXT("platform", "client", KEY_NAME, platform.client, false,
-	"how calls are signed; absent: the VM's name"),
+	"client name that signs platform calls; absent: the VM's name"),
 
     NUMBER("callers", "connections", KEY_U32, callers.connections, 16, 100000,
-	4000, "most at once; each takes some 40 KB at its fullest"),
+	4000, "maximum number at once; each uses up to about 40 KB"),
     NUMBER("callers", "header_bytes", KEY_SIZE, callers.header_bytes, 1024,
-	1048576, 16384, "a traceparent, an idempotency key and room"),
+	1048576, 16384,
+	"maximum: a traceparent, an idempotency key and some spare"),
     NUMBER("callers", "body_bytes", KEY_SIZE, callers.body_bytes, 1024,
 	BODY_BYTES_MAX, 1048576,
-	"one request; file uploads are cut into parts and not bounded here"),
+	"maximum per request; file uploads are split and not limited here"),
     NUMBER("callers", "idle_ms", KEY_MS, callers.idle_ms, SECOND, HOUR, MINUTE,
-	"silence until a connection is closed"),
+	"an idle connection is closed after"),
     NUMBER("callers", "stream_bytes", KEY_SIZE, callers.stream_bytes, 4096,
 	16777216, 262144,
-	"answer bytes held for a slow reader before its stream is ended"),
+	"response bytes buffered for a slow reader; beyond, its stream ends"),
 
     NUMBER("member", "heartbeat_ms", KEY_MS, core.member.heartbeat_ms, 50,
-	MINUTE, 500, "between heartbeats to each VM of the domain"),
+	MINUTE, 500, "interval of heartbeats to each VM of the domain"),
     NUMBER("member", "suspect_ms", KEY_MS, core.member.suspect_ms, 200,
-	10 * MINUTE, 2000, "silence until a VM is a suspect: 3 lost ones"),
+	10 * MINUTE, 2000,
+	"time without heartbeats until a VM is suspected: 3 lost in a row"),
     NUMBER("member", "forget_ms", KEY_MS, core.member.forget_ms, MINUTE,
-	7 * DAY, HOUR, "silence until a VM is no longer tried"),
+	7 * DAY, HOUR,
+	"time without heartbeats until a VM is no longer contacted"),
 
     NUMBER("lease", "lease_ms", KEY_MS, core.lease.lease_ms, 500, 10 * MINUTE,
-	6000, "of the domain's duties; renewed at a third of it"),
+	6000, "lease on the domain's duties; renewed after a third of it"),
     NUMBER("lease", "margin_ms", KEY_MS, core.lease.margin_ms, 100, MINUTE,
-	1500, "an observer waits more, for clocks that run unevenly"),
+	1500, "an observer waits this much longer, as clock rates differ"),
     NUMBER("lease", "grace_ms", KEY_MS, core.lease.grace_ms, 0, HOUR, 15000,
-	"a successor waits it out where servers ignore fencing numbers"),
+	"wait of a successor where servers ignore fencing numbers"),
 
     NUMBER("ledger", "retention_ms", KEY_MS, core.ledger.retention_ms, MINUTE,
-	7 * DAY, 2 * HOUR, "how long an idempotency key is remembered"),
+	7 * DAY, 2 * HOUR, "how long an idempotency key is kept"),
     NUMBER("ledger", "ack_timeout_ms", KEY_MS, core.ledger.ack_timeout_ms, 50,
 	MINUTE, 1000, "wait for the witness before a call is refused"),
     NUMBER("ledger", "takeover_ms", KEY_MS, core.ledger.takeover_ms, 500,
 	10 * MINUTE, 3000,
-	"silence until a VM is lost: slots and claims go to others"),
+	"time without heartbeats until others take a VM's slots and claims"),
     NUMBER("ledger", "answer_max", KEY_SIZE, core.ledger.answer_max, 0, 65536,
-	8192, "bytes; a larger answer is not kept for a replay"),
+	8192, "bytes; a larger response is not stored for replay"),
     NUMBER("ledger", "record_max", KEY_SIZE, core.ledger.record_max, 1000,
-	10000000, 200000, "records kept; beyond them calls are refused"),
+	10000000, 200000,
+	"maximum number of records; beyond it calls are refused"),
 
     NUMBER("dispatch", "retry_share", KEY_REAL, core.dispatch.retry_share, 0, 1,
-	0.1, "retries per first attempt: a retry storm adds a tenth"),
+	0.1, "retries per first attempt: a retry storm adds at most a tenth"),
     NUMBER("dispatch", "retry_floor", KEY_U32, core.dispatch.retry_floor, 0,
 	1000, 10, "retries allowed when there are few requests"),
     NUMBER("dispatch", "withdraw_retry_ms", KEY_MS,
 	core.dispatch.withdraw_retry_ms, 0, MINUTE, 250,
-	"batch rests on a server after it made room for online"),
+	"pause of batch on a server after it gave way to online requests"),
     NUMBER("dispatch", "batch_start", KEY_U32, core.dispatch.batch_start, 0,
-	256, 2, "batch limit of a server nothing is known of"),
+	256, 2, "initial batch limit of a server without measurements"),
     NUMBER("dispatch", "batch_most", KEY_U32, core.dispatch.batch_most, 0, 4096,
-	256, "greatest batch limit a server can earn"),
+	256, "maximum batch limit a server can reach"),
 
     NUMBER("quarantine", "strikes", KEY_U32, core.quarantine.strikes, 1, 10, 2,
-	"crashes of backend servers until a request is refused"),
+	"backend server crashes after which a request is refused"),
     NUMBER("quarantine", "suspect_ms", KEY_MS, core.quarantine.suspect_ms,
-	SECOND, DAY, 10 * MINUTE, "a strike lapses after"),
+	SECOND, DAY, 10 * MINUTE,
+	"a crash report against a request expires after"),
     NUMBER("quarantine", "quarantine_ms", KEY_MS, core.quarantine.quarantine_ms,
-	SECOND, 7 * DAY, HOUR, "a request is refused for"),
+	SECOND, 7 * DAY, HOUR, "how long a quarantined request is refused"),
     NUMBER("quarantine", "most", KEY_SIZE, core.quarantine.most, 256, 1048576,
-	65536, "fingerprints kept"),
+	65536, "maximum number of fingerprints kept"),
 
     NUMBER("batch", "lease_ms", KEY_MS, batch.lease_ms, SECOND, HOUR, 15000,
-	"of a claimed chunk: work redone after a crash against writes"),
+	"lease on a chunk: rework after a crash traded against writes"),
     NUMBER("batch", "margin_ms", KEY_MS, batch.margin_ms, 100, MINUTE, 3000,
-	"an observer waits more before it takes a chunk over"),
+	"an observer waits this much longer before taking a chunk over"),
     NUMBER("batch", "checkpoint_ms", KEY_MS, batch.checkpoint_ms, 200, HOUR,
-	5000, "between renewals, each with the results so far"),
+	5000, "interval of lease renewals, each with the results so far"),
     NUMBER("batch", "chunks", KEY_U32, batch.chunks, 0, 256, 4,
-	"claimed at once; 0: this VM runs no batch"),
+	"maximum chunks claimed at a time; 0: this VM runs no batch"),
     NUMBER("batch", "item_attempts", KEY_U32, batch.item_attempts, 1, 100, 4,
-	"runs of one item until it ends with a recorded failure"),
+	"runs of one item before it is recorded as failed"),
     NUMBER("batch", "item_retry_ms", KEY_MS, batch.item_retry_ms, 1, HOUR, 500,
-	"first wait before a re-run"),
+	"initial delay before a re-run"),
     NUMBER("batch", "relist_ms", KEY_MS, batch.relist_ms, SECOND, HOUR, 30000,
-	"between looks at all jobs, for watches that lost events"),
+	"interval of listing all jobs, in case a watch lost events"),
     NUMBER("batch", "retry_ms", KEY_MS, batch.retry_ms, 10, MINUTE, 200,
-	"first wait after a failed platform call"),
+	"initial delay after a failed platform call"),
     NUMBER("batch", "checkpoint_bytes", KEY_SIZE, batch.checkpoint_bytes, 4096,
-	1000000, 600000, "largest checkpoint; a value holds 1 MB"),
+	1000000, 600000,
+	"maximum size of a checkpoint; a stored value holds 1 MB"),
 
     NUMBER("intake", "part_items", KEY_U32, intake.part_items, 1, 10000, 500,
-	"items of a part: write rate against work redone after a crash"),
+	"items per part: write rate traded against rework after a crash"),
     NUMBER("intake", "part_bytes", KEY_SIZE, intake.part_bytes, 4096, 1000000,
-	700000, "a part's lines; a value holds 1 MB"),
+	700000, "maximum size of a part's lines; a stored value holds 1 MB"),
     NUMBER("intake", "line_bytes", KEY_SIZE, intake.line_bytes, 1024, 1000000,
-	262144, "longest line of a batch file"),
+	262144, "maximum line length of a batch file"),
     NUMBER("intake", "file_items", KEY_U32, intake.file_items, 1, 10000000,
-	400000, "items of a file"),
+	400000, "maximum number of items in a file"),
     NUMBER("intake", "parts_pending", KEY_U32, intake.parts_pending, 1, 64, 2,
-	"parts under way of one upload; bounds its memory"),
-    NUMBER("intake", "tries", KEY_U32, intake.tries, 1, 100, 6, "of one write"),
+	"part writes in progress per upload; limits its memory"),
+    NUMBER("intake", "tries", KEY_U32, intake.tries, 1, 100, 6,
+	"attempts per write"),
     NUMBER("intake", "retry_ms", KEY_MS, intake.retry_ms, 10, MINUTE, 200,
-	"first wait between tries, doubles"),
+	"initial delay between attempts, doubles"),
 
     NUMBER("jobs", "tries", KEY_U32, jobs.tries, 1, 100, 4,
-	"of one platform call"),
+	"attempts per platform call"),
     NUMBER("jobs", "retry_ms", KEY_MS, jobs.retry_ms, 10, MINUTE, 100,
-	"first wait between tries, doubles"),
+	"initial delay between attempts, doubles"),
     NUMBER("jobs", "operation_ms", KEY_MS, jobs.operation_ms, 500, 10 * MINUTE,
-	8000, "an operation is given up after"),
+	8000, "an operation is abandoned after"),
     NUMBER("jobs", "retry_after_ms", KEY_MS, jobs.retry_after_ms, 100,
-	10 * MINUTE, 2000, "told to callers that are refused"),
+	10 * MINUTE, 2000, "retry delay sent to refused callers"),
 
     NUMBER("orders", "settle_ms", KEY_MS, core.orders.settle_ms, 0, HOUR, 2000,
-	"a wish stands this long before an order, against flapping"),
+	"a target must be stable this long before an order; avoids flapping"),
     NUMBER("orders", "retry_ms", KEY_MS, core.orders.retry_ms, 100, HOUR, 3000,
-	"an unanswered order is given again"),
+	"an unanswered order is sent again after"),
     NUMBER("orders", "at_once", KEY_U32, core.orders.at_once, 1, 256, 2,
-	"load orders under way; the weight store is rate-limited"),
+	"concurrent load orders; the weight store is rate-limited"),
     NUMBER("orders", "spacing_ms", KEY_MS, core.orders.spacing_ms, 0, HOUR, 500,
-	"between load orders"),
+	"minimum interval between load orders"),
 
     NUMBER("config", "call_timeout_ms", KEY_MS, core.config.call_timeout_ms,
-	100, 10 * MINUTE, 4000, "a patch is given up after"),
+	100, 10 * MINUTE, 4000, "a patch is abandoned after"),
 
     NUMBER("core", "vms_poll_ms", KEY_MS, core.vms_poll_ms, 200, 10 * MINUTE,
-	2000, "between reads of the platform's VM list"),
+	2000, "interval of reading the platform's VM list"),
     NUMBER("core", "pause_ms", KEY_MS, core.pause_ms, 100, MINUTE, 1000,
 	"a longer gap between ticks counts as a pause of the process"),
     NUMBER("core", "resend_ms", KEY_MS, core.resend_ms, 50, MINUTE, 500,
-	"a forwarded call without a word is sent again; doubles twice"),
+	"a forwarded call without any reply is sent again; doubles twice"),
 
     NUMBER("log", "level", KEY_LEVEL, log.level, 0, 0, JJ_LOG_INFO,
-	"events of this level and graver ones"),
+	"events of this level and more severe ones"),
     TEXT("log", "file", KEY_PATH, log.file, false,
 	"appended to; \"-\": standard output; absent: standard error"),
 
     TEXT("trace", "file", KEY_PATH, trace.file, false,
 	"OTLP JSON lines; absent: spans are only kept in memory"),
     NUMBER("trace", "share", KEY_REAL, trace.share, 0, 1, 0.01,
-	"of traces begun here that go to the file"),
+	"share of the traces started here that is exported"),
     NUMBER("trace", "ring", KEY_U32, trace.ring, 16, 65536, 2048,
 	"spans kept for `jujubectl trace`; 1.2 KB each"),
     NUMBER("trace", "flush_ms", KEY_MS, trace.flush_ms, 50, MINUTE, 1000,
-	"between writes to the file"),
+	"interval of writes to the file"),
 
     NUMBER("gateway", "idle", KEY_BOOL, gateway_idle, 0, 1, 0,
-	"a VM that only holds its place: it takes and runs no requests"),
+	"standby: this VM neither accepts nor runs requests"),
     NUMBER("gateway", "reserve", KEY_U32, gateway.slots.reserve, 0, 64, 1,
-	"places of a server that batch leaves to the next online request"),
+	"request slots of a server that batch leaves free for online"),
     NUMBER("gateway", "queue_most", KEY_U32, gateway.slots.queue_most, 0, 1000,
-	6, "online requests that wait at a server: more would all be late"),
+	6, "maximum online requests queued per server; more would be late"),
     NUMBER("gateway", "connect_ms", KEY_MS, gateway.connect_ms, 10, MINUTE, 250,
-	"to connect to a server a few ms away; a dark one takes all of it"),
+	"connect time-out; servers are ms away, unreachable ones use it up"),
     NUMBER("gateway", "connect_tries", KEY_U32, gateway.connect_tries, 0, 64, 4,
-	"further servers tried while none has taken the connection"),
+	"further servers tried until one accepts the connection"),
     NUMBER("gateway", "stall_ms", KEY_MS, gateway.stall_ms, 100, MINUTE, 1500,
-	"silence until a repeatable stream goes on at another server"),
+	"a repeatable stream without data moves to another server after"),
     NUMBER("gateway", "retry_after_ms", KEY_MS, gateway.retry_after_ms, 10,
-	MINUTE, 250, "told to refused callers: some requests end meanwhile"),
+	MINUTE, 250,
+	"retry delay sent to refused callers: some requests end meanwhile"),
     NUMBER("gateway", "news_ms", KEY_MS, gateway.news_ms, 300, MINUTE, 2000,
-	"configuration and servers' states are in force at each VM within"),
+	"configuration and server states are in force at each VM within"),
     NUMBER("gateway", "watch_wait_ms", KEY_MS, gateway.watch_wait_ms, 100,
 	10 * MINUTE, 20000, "how long a watch may wait; each costs a call"),
     NUMBER("gateway", "spacing_ms", KEY_MS, gateway.spacing_ms, 0, MINUTE, 400,
-	"from news of servers to the next watch: events come together"),
+	"delay from a server update to the next watch; groups events"),
     NUMBER("gateway", "backoff_ms", KEY_MS, gateway.backoff_ms, 10, MINUTE, 200,
-	"after a failed call to the platform; doubles"),
+	"initial delay after a failed platform call; doubles"),
     NUMBER("gateway", "backoff_most_ms", KEY_MS, gateway.backoff_most_ms, 10,
-	10 * MINUTE, 1600, "longest such wait"),
+	10 * MINUTE, 1600, "maximum of this delay"),
     NUMBER("gateway", "vms_poll_ms", KEY_MS, gateway.vms_poll_ms, 100,
-	10 * MINUTE, 5000, "between looks at the list of VMs; new ones speak"),
+	10 * MINUTE, 5000,
+	"interval of reading the VM list; new VMs announce themselves"),
     NUMBER("gateway", "relist_grace_ms", KEY_MS, gateway.relist_grace_ms, 0,
-	MINUTE, 2000, "entries that lapsed in an outage are back by then"),
+	MINUTE, 2000, "time for entries that expired in an outage to reappear"),
     NUMBER("gateway", "tell_near_ms", KEY_MS, gateway.tell_near_ms, 1, MINUTE,
-	10, "between loads told to VMs of the own failure domain"),
+	10, "interval of load reports to VMs of the same failure domain"),
     NUMBER("gateway", "tell_far_ms", KEY_MS, gateway.tell_far_ms, 1, MINUTE,
-	100, "between loads told to all VMs of the region, for 12 of them"),
+	100, "interval of load reports to all VMs of the region, sized for 12"),
 
     NUMBER("inline", "publish_ms", KEY_MS, gateway.jobs.publish_ms, 0, MINUTE,
-	1500, "results of a job are gathered so long for one write"),
+	1500, "how long results of a job are collected for one write"),
     NUMBER("inline", "takeover_ms", KEY_MS, gateway.jobs.takeover_ms, 0,
-	10 * MINUTE, 1500, "a job's lost VM may come back so long"),
+	10 * MINUTE, 1500,
+	"time for a job's lost VM to rejoin before its job is taken over"),
     NUMBER("inline", "alone_ms", KEY_MS, gateway.jobs.alone_ms, 0, 10 * MINUTE,
-	6000, "the same for a VM that hears no other: it may be cut off"),
+	6000,
+	"same, if nothing arrives from other VMs: this one may be cut off"),
     NUMBER("inline", "retry_ms", KEY_MS, gateway.jobs.retry_ms, 1, MINUTE, 60,
-	"first wait after a failed call to the platform; doubles"),
+	"initial delay after a failed platform call; doubles"),
     NUMBER("inline", "retry_most_ms", KEY_MS, gateway.jobs.retry_most_ms, 1,
-	10 * MINUTE, 1000, "longest such wait"),
+	10 * MINUTE, 1000, "maximum of this delay"),
     NUMBER("inline", "submit_ms", KEY_MS, gateway.jobs.submit_ms, 100,
-	10 * MINUTE, 3000, "a submission or an end is given up after"),
+	10 * MINUTE, 3000, "submitting or ending a job is abandoned after"),
     NUMBER("inline", "read_ms", KEY_MS, gateway.jobs.read_ms, 100, 10 * MINUTE,
 	1500, "a read that the platform does not answer is refused after"),
     NUMBER("inline", "orphan_ms", KEY_MS, gateway.jobs.orphan_ms, 1000, HOUR,
-	15000, "a write may take effect seconds after its call"),
+	15000,
+	"an open entry without a job is kept; writes may apply seconds late"),
     NUMBER("inline", "keep_ms", KEY_MS, gateway.jobs.keep_ms, 0, HOUR, 2500,
-	"an ended job's results stay in memory for its last readers"),
+	"how long results of an ended job stay in memory for readers"),
     NUMBER("inline", "item_retry_ms", KEY_MS, gateway.jobs.item_retry_ms, 1,
-	HOUR, 200, "first rest of an item that a server failed; doubles"),
+	HOUR, 200, "initial delay of an item that failed on a server; doubles"),
     NUMBER("inline", "mirror_spacing_ms", KEY_MS,
 	gateway.jobs.mirror_spacing_ms, 0, MINUTE, 1500,
-	"from news of open jobs to the next watch: events come together"),
+	"delay from an open-jobs update to the next watch; groups events"),
     NUMBER("inline", "state_fresh_ms", KEY_MS, gateway.jobs.state_fresh_ms, 100,
-	MINUTE, 850, "what a VM says of its jobs holds; told each 400 ms"),
+	MINUTE, 850,
+	"validity of a VM's job status, which is sent every 400 ms"),
     NUMBER("inline", "retry_after_ms", KEY_MS, gateway.jobs.retry_after_ms, 10,
-	10 * MINUTE, 500, "told to submitters that are refused"),
+	10 * MINUTE, 500, "retry delay sent to refused submitters"),
 
     NUMBER("stop", "grace_s", KEY_REAL, stop.grace_s, 0, 3600, 0,
-	"a stopping process is killed after; 0: it is not"),
+	"a stopping process is killed after; 0: never"),
     NUMBER("stop", "least_ms", KEY_MS, stop.least_ms, 0, HOUR, 0,
-	"a planned stop takes that long, for a balancer to notice it"),
+	"minimum duration of a planned stop: a balancer must notice it"),
     NUMBER("stop", "drain_ms", KEY_MS, stop.drain_ms, 0, HOUR, MINUTE,
-	"most a planned stop waits for requests in progress"),
+	"maximum wait of a planned stop for requests in progress"),
 
     NUMBER("faults", "enabled", KEY_BOOL, faults, 0, 1, 0,
-	"lets tests cut this VM off its neighbours; never set in service"),
+	"lets tests cut this VM off from neighbours; never in production"),
 };
 
 #define KEY_COUNT COUNT(settings_keys)
@@ -388,48 +405,50 @@
     SEED("address", KEY_ADDRESS, jj_server_seed_t, address, true,
 	"where it is reached"),
     SEED("checks_fence", KEY_BOOL, jj_server_seed_t, checks_fence, false,
-	"refuses orders with an old fencing number; false is the safe guess"),
+	"refuses orders with an old fencing number; false is safe"),
 };
 
-static const list_t lists[] = {
+static const table_array_t lists[] = {
     {"neighbours", neighbour_keys, COUNT(neighbour_keys),
-	sizeof(jj_neighbour_seed_t), PLACE(neighbours), PLACE(neighbour_count)},
+	sizeof(jj_neighbour_seed_t), OFFSET(neighbours),
+	OFFSET(neighbour_count)},
     {"servers", server_keys, COUNT(server_keys), sizeof(jj_server_seed_t),
-	PLACE(servers), PLACE(server_count)},
+	OFFSET(servers), OFFSET(server_count)},
 };
 
 static const relation_t relations[] = {
-    {"member", "heartbeat_ms", PLACE(core.member.heartbeat_ms), 2,
-	"member.suspect_ms", PLACE(core.member.suspect_ms),
-	"one lost heartbeat must not make a VM a suspect"},
-    {"member", "suspect_ms", PLACE(core.member.suspect_ms), 1,
-	"member.forget_ms", PLACE(core.member.forget_ms),
+    {"member", "heartbeat_ms", OFFSET(core.member.heartbeat_ms), 2,
+	"member.suspect_ms", OFFSET(core.member.suspect_ms),
+	"one lost heartbeat must not make a VM suspected"},
+    {"member", "suspect_ms", OFFSET(core.member.suspect_ms), 1,
+	"member.forget_ms", OFFSET(core.member.forget_ms),
 	"a VM is suspected before it is forgotten"},
-    {"member", "suspect_ms", PLACE(core.member.suspect_ms), 1,
-	"ledger.takeover_ms", PLACE(core.ledger.takeover_ms),
-	"slots of a VM that is not yet suspected must stay with it"},
-    {"batch", "checkpoint_ms", PLACE(batch.checkpoint_ms), 2, "batch.lease_ms",
-	PLACE(batch.lease_ms), "one lost renewal must not lose the claim"},
+    {"member", "suspect_ms", OFFSET(core.member.suspect_ms), 1,
+	"ledger.takeover_ms", OFFSET(core.ledger.takeover_ms),
+	"slots of a VM that is not yet suspected must not be taken over"},
+    {"batch", "checkpoint_ms", OFFSET(batch.checkpoint_ms), 2, "batch.lease_ms",
+	OFFSET(batch.lease_ms), "one lost renewal must not lose the claim"},
 };
 
 bool
-jj_settings_load(
-    jj_settings_t *settings, const char *path, char *why, size_t why_size)
+jj_settings_load(jj_settings_t *settings, const char *path, char *error_text,
+    size_t error_text_size)
 {
-	check_t check = {path, why, why_size};
+	error_sink_t sink = {path, error_text, error_text_size};
 
 	return read_document(
-	    &check, jj_toml_load(path, why, why_size), settings);
+	    &sink, jj_toml_load(path, error_text, error_text_size), settings);
 }
 
 bool
 jj_settings_parse(jj_settings_t *settings, const char *text, size_t size,
-    const char *name, char *why, size_t why_size)
+    const char *name, char *error_text, size_t error_text_size)
 {
-	check_t check = {name, why, why_size};
+	error_sink_t sink = {name, error_text, error_text_size};
 
-	return read_document(
-	    &check, jj_toml_parse(text, size, name, why, why_size), settings);
+	return read_document(&sink,
+	    jj_toml_parse(text, size, name, error_text, error_text_size),
+	    settings);
 }
 
 void
@@ -444,7 +463,7 @@
 jj_settings_describe(void)
 {
 	jj_bytes_t text = {NULL, 0};
-	char bounds[VALUE_PRINT_MAX], initial[VALUE_PRINT_MAX];
+	char bounds[VALUE_PRINT_MAX], default_value[VALUE_PRINT_MAX];
 	FILE *stream = open_memstream(&text.data, &text.size);
 	const setting_t *key;
 
@@ -454,18 +473,19 @@
 	    "|---|---|---|---|\n");
 	for (key = settings_keys; key < settings_keys + KEY_COUNT; key++) {
 		describe_bounds(key, bounds, sizeof(bounds));
-		print_default(key, initial, sizeof(initial));
+		print_default(key, default_value, sizeof(default_value));
 		(void)fprintf(stream, "| `%s%s%s` | %s | %s | %s |\n",
 		    key->table, key->table[0] != '\0' ? "." : "", key->key,
-		    bounds, initial, key->reason);
+		    bounds, default_value, key->reason);
 	}
 	JJ_INVARIANT(fclose(stream) == 0);
 	return text;
 }
 
-/* Takes the document over. */
+/* Takes ownership of the document and frees it. */
 static bool
-read_document(const check_t *check, jj_toml_t *toml, jj_settings_t *settings)
+read_document(
+    const error_sink_t *sink, jj_toml_t *toml, jj_settings_t *settings)
 {
 	const jj_toml_node_t *root;
 	bool valid;
@@ -474,24 +494,23 @@
 	if (toml == NULL)
 		return false;
 	root = jj_toml_root(toml);
-	valid = check_unknown(check, root) &&
-	    read_keys(check, root, settings) &&
-	    read_lists(check, root, settings) &&
-	    check_relations(check, root, settings);
+	valid = check_unknown(sink, root) && read_keys(sink, root, settings) &&
+	    read_lists(sink, root, settings) &&
+	    check_relations(sink, root, settings);
 	jj_toml_destroy(toml);
 	if (valid)
-		fill_identity(settings);
+		copy_identity(settings);
 	else
 		jj_settings_clear(settings);
 	return valid;
 }
 
 /*
- * Guards against a misspelt key: it would be ignored, its default would be
- * in force, and nobody would see it before the night it matters.
+ * Rejects unknown keys. A misspelt key would otherwise be ignored and its
+ * default silently used, which may not be noticed before an incident.
  */
 static bool
-check_unknown(const check_t *check, const jj_toml_node_t *root)
+check_unknown(const error_sink_t *sink, const jj_toml_node_t *root)
 {
 	const jj_toml_node_t *node;
 	const char *name;
@@ -502,36 +521,38 @@
 		node = jj_toml_at(root, i);
 		if (find_list(name) != NULL || find_key("", name) != NULL)
 			continue;
-		if (!is_table(name))
-			return fail(check, node, name, UNKNOWN_KEY);
-		if (!check_table(check, node, name))
+		if (!is_known_table(name))
+			return set_error(sink, node, name, UNKNOWN_KEY);
+		if (!check_table(sink, node, name))
 			return false;
 	}
 	return true;
 }
 
 static bool
-check_table(const check_t *check, const jj_toml_node_t *table, const char *name)
+check_table(
+    const error_sink_t *sink, const jj_toml_node_t *table, const char *name)
 {
 	char dotted[KEY_PRINT_MAX];
 	const char *key;
 	size_t i;
 
 	if (jj_toml_type(table) != JJ_TOML_TABLE)
-		return fail(check, table, name, "must be a table");
+		return set_error(sink, table, name, "must be a table");
 	for (i = 0; i < jj_toml_count(table); i++) {
 		key = jj_toml_key_at(table, i);
 		if (find_key(name, key) != NULL)
 			continue;
 		(void)snprintf(dotted, sizeof(dotted), "%s.%.64s", name, key);
-		return fail(check, jj_toml_at(table, i), dotted, UNKNOWN_KEY);
+		return set_error(
+		    sink, jj_toml_at(table, i), dotted, UNKNOWN_KEY);
 	}
 	return true;
 }
 
 static bool
-read_keys(
-    const check_t *check, const jj_toml_node_t *root, jj_settings_t *settings)
+read_keys(const error_sink_t *sink, const jj_toml_node_t *root,
+    jj_settings_t *settings)
 {
 	const jj_toml_node_t *table;
 	const setting_t *key;
@@ -545,19 +566,19 @@
 			(void)snprintf(dotted, sizeof(dotted), "%s.%s",
 			    key->table, key->key);
 		}
-		if (!read_key(check, table, key, dotted, (char *)settings))
+		if (!read_key(sink, table, key, dotted, (char *)settings))
 			return false;
 	}
 	return true;
 }
 
-/* Reads one key of a table (NULL: the table is absent) into its place. */
+/* Reads one key of a table (NULL: the table is absent) into its field. */
 static bool
-read_key(const check_t *check, const jj_toml_node_t *table,
+read_key(const error_sink_t *sink, const jj_toml_node_t *table,
     const setting_t *key, const char *dotted, char *owner)
 {
 	const jj_toml_node_t *node = NULL;
-	char bounds[VALUE_PRINT_MAX], must[VALUE_PRINT_MAX + 16];
+	char bounds[VALUE_PRINT_MAX], requirement[VALUE_PRINT_MAX + 16];
 	int line = 1;
 
 	if (table != NULL) {
@@ -565,39 +586,39 @@
 		line = jj_toml_line(table);
 	}
 	if (node == NULL && !key->required) {
-		store_number(key, key->initial, owner + key->offset);
+		store_number(key, key->default_value, owner + key->offset);
 		return true;
 	}
 	if (node != NULL && read_value(node, key, owner + key->offset))
 		return true;
 	describe_bounds(key, bounds, sizeof(bounds));
-	(void)snprintf(must, sizeof(must), "must be %s", bounds);
+	(void)snprintf(requirement, sizeof(requirement), "must be %s", bounds);
 	if (node != NULL)
-		return fail(check, node, dotted, must);
-	(void)snprintf(check->why, check->why_size,
-	    "%s:%d: key '%s' is missing: %s", check->file, line > 0 ? line : 1,
-	    dotted, must);
+		return set_error(sink, node, dotted, requirement);
+	(void)snprintf(sink->error_text, sink->error_text_size,
+	    "%s:%d: key '%s' is missing: %s", sink->file, line > 0 ? line : 1,
+	    dotted, requirement);
 	return false;
 }
 
 static bool
-read_value(const jj_toml_node_t *node, const setting_t *key, char *place)
+read_value(const jj_toml_node_t *node, const setting_t *key, char *field)
 {
 	switch (key->type) {
 	case KEY_MS:
 	case KEY_U32:
 	case KEY_SIZE:
 	case KEY_REAL:
-		return read_number(node, key, place);
+		return read_number(node, key, field);
 	case KEY_BOOL:
-		return jj_toml_get_boolean(node, (bool *)place);
+		return jj_toml_get_boolean(node, (bool *)field);
 	default:
-		return read_text(node, key, place);
+		return read_text(node, key, field);
 	}
 }
 
 static bool
-read_number(const jj_toml_node_t *node, const setting_t *key, char *place)
+read_number(const jj_toml_node_t *node, const setting_t *key, char *field)
 {
 	double number;
 	int64_t integer;
@@ -606,32 +627,32 @@
 		return false;
 	if (!jj_toml_get_real(node, &number))
 		return false;
-	/* Not `outside`: a NaN is neither below nor above a bound. */
-	if (!(number >= key->least && number <= key->most))
+	/* Compared this way round, the bounds also reject a NaN. */
+	if (!(number >= key->minimum && number <= key->maximum))
 		return false;
-	store_number(key, number, place);
+	store_number(key, number, field);
 	return true;
 }
 
-/* All bounds are far below 2^53: a double holds each whole number. */
+/* All bounds are far below 2^53, so a double represents integers exactly. */
 static void
-store_number(const setting_t *key, double number, char *place)
+store_number(const setting_t *key, double number, char *field)
 {
 	switch (key->type) {
 	case KEY_MS:
-		*(jj_ms_t *)(void *)place = (jj_ms_t)number;
+		*(jj_ms_t *)(void *)field = (jj_ms_t)number;
 		break;
 	case KEY_U32:
-		*(uint32_t *)(void *)place = (uint32_t)number;
+		*(uint32_t *)(void *)field = (uint32_t)number;
 		break;
 	case KEY_SIZE:
-		*(size_t *)(void *)place = (size_t)number;
+		*(size_t *)(void *)field = (size_t)number;
 		break;
 	case KEY_REAL:
-		*(double *)(void *)place = number;
+		*(double *)(void *)field = number;
 		break;
 	case KEY_LEVEL:
-		*(jj_log_level_t *)(void *)place = (jj_log_level_t)number;
+		*(jj_log_level_t *)(void *)field = (jj_log_level_t)number;
 		break;
 	default:
 		break;
@@ -639,7 +660,7 @@
 }
 
 static bool
-read_text(const jj_toml_node_t *node, const setting_t *key, char *place)
+read_text(const jj_toml_node_t *node, const setting_t *key, char *field)
 {
 	const char *text;
 	size_t size;
@@ -650,18 +671,18 @@
 		return false;
 	if (key->type == KEY_LEVEL)
 		return jj_log_parse_level(
-		    text, (jj_log_level_t *)(void *)place);
+		    text, (jj_log_level_t *)(void *)field);
 	if (key->type == KEY_NAME && !is_name(text, size))
 		return false;
 	if (key->type == KEY_ADDRESS && !is_address(text, size))
 		return false;
 	if (size > (key->type == KEY_PATH ? JJ_SETTINGS_PATH_MAX : JJ_NAME_MAX))
 		return false;
-	memcpy(place, text, size + 1);
+	memcpy(field, text, size + 1);
 	return true;
 }
 
-/* Names become parts of platform keys, log lines and metric labels. */
+/* Names are used in platform keys, log lines and metric labels. */
 static bool
 is_name(const char *text, size_t size)
 {
@@ -670,7 +691,7 @@
 		   "0123456789._-") == size;
 }
 
-/* IP:PORT or [IP]:PORT; a host's name would need a resolver at run time. */
+/* IP:PORT or [IP]:PORT; a host name would need a resolver at run time. */
 static bool
 is_address(const char *text, size_t size)
 {
@@ -698,8 +719,8 @@
 }
 
 static bool
-read_lists(
-    const check_t *check, const jj_toml_node_t *root, jj_settings_t *settings)
+read_lists(const error_sink_t *sink, const jj_toml_node_t *root,
+    jj_settings_t *settings)
 {
 	const jj_toml_node_t *array;
 	size_t i;
@@ -710,35 +731,35 @@
 			continue;
 		if (jj_toml_type(array) != JJ_TOML_ARRAY ||
 		    jj_toml_count(array) > SEEDS_MAX)
-			return fail(check, array, lists[i].table,
+			return set_error(sink, array, lists[i].table,
 			    "must be an array of at most 4096 tables");
-		if (!read_list(check, array, &lists[i], (char *)settings))
+		if (!read_list(sink, array, &lists[i], (char *)settings))
 			return false;
 	}
 	return true;
 }
 
 static bool
-read_list(const check_t *check, const jj_toml_node_t *array, const list_t *list,
-    char *owner)
+read_list(const error_sink_t *sink, const jj_toml_node_t *array,
+    const table_array_t *list, char *owner)
 {
 	size_t count = jj_toml_count(array), i;
 	char *elements = jj_alloc(count * list->size);
 
-	/* Stored first: on a fault jj_settings_clear frees them. */
+	/* Stored first, so that jj_settings_clear frees them after an error. */
 	memcpy(owner + list->offset, &elements, sizeof(elements));
 	memcpy(owner + list->count_offset, &count, sizeof(count));
 	for (i = 0; i < count; i++) {
-		if (!read_element(check, array, list, i, elements) ||
-		    !check_twins(check, array, list, i, elements))
+		if (!read_element(sink, array, list, i, elements) ||
+		    !check_unique_name(sink, array, list, i, elements))
 			return false;
 	}
 	return true;
 }
 
 static bool
-read_element(const check_t *check, const jj_toml_node_t *array,
-    const list_t *list, size_t index, char *elements)
+read_element(const error_sink_t *sink, const jj_toml_node_t *array,
+    const table_array_t *list, size_t index, char *elements)
 {
 	const jj_toml_node_t *table = jj_toml_at(array, index);
 	char dotted[KEY_PRINT_MAX];
@@ -746,29 +767,30 @@
 	size_t i;
 
 	if (jj_toml_type(table) != JJ_TOML_TABLE)
-		return fail(check, table, list->table, "must be a table");
+		return set_error(sink, table, list->table, "must be a table");
 	for (i = 0; i < jj_toml_count(table); i++) {
 		name = jj_toml_key_at(table, i);
-		if (find_in(list->keys, list->key_count, "", name) != NULL)
+		if (find_setting(list->keys, list->key_count, "", name) != NULL)
 			continue;
 		(void)snprintf(
 		    dotted, sizeof(dotted), "%s.%.64s", list->table, name);
-		return fail(check, jj_toml_at(table, i), dotted, UNKNOWN_KEY);
+		return set_error(
+		    sink, jj_toml_at(table, i), dotted, UNKNOWN_KEY);
 	}
 	for (i = 0; i < list->key_count; i++) {
 		(void)snprintf(dotted, sizeof(dotted), "%s.%s", list->table,
 		    list->keys[i].key);
-		if (!read_key(check, table, &list->keys[i], dotted,
+		if (!read_key(sink, table, &list->keys[i], dotted,
 			elements + index * list->size))
 			return false;
 	}
 	return true;
 }
 
-/* Two seeds of one name would make one VM or server answer for the other. */
+/* With duplicate names, one VM or server would be mistaken for the other. */
 static bool
-check_twins(const check_t *check, const jj_toml_node_t *array,
-    const list_t *list, size_t index, const char *elements)
+check_unique_name(const error_sink_t *sink, const jj_toml_node_t *array,
+    const table_array_t *list, size_t index, const char *elements)
 {
 	const jj_name_t *name = (const void *)(elements + index * list->size);
 	const jj_toml_node_t *table = jj_toml_at(array, index);
@@ -780,14 +802,14 @@
 			name, (const void *)(elements + i * list->size)))
 			continue;
 		(void)snprintf(dotted, sizeof(dotted), "%s.name", list->table);
-		return fail(check, jj_toml_find(table, "name"), dotted,
+		return set_error(sink, jj_toml_find(table, "name"), dotted,
 		    "must be unique in its list");
 	}
 	return true;
 }
 
 static bool
-check_relations(const check_t *check, const jj_toml_node_t *root,
+check_relations(const error_sink_t *sink, const jj_toml_node_t *root,
     const jj_settings_t *settings)
 {
 	const relation_t *relation;
@@ -806,10 +828,10 @@
 		table = jj_toml_find(root, relation->table);
 		node =
 		    table != NULL ? jj_toml_find(table, relation->key) : NULL;
-		(void)snprintf(check->why, check->why_size,
+		(void)snprintf(sink->error_text, sink->error_text_size,
 		    "%s:%d: key '%s.%s' = %" PRId64 ": must be at most %" PRId64
 		    " (%s = %" PRId64 "): %s",
-		    check->file, node != NULL ? jj_toml_line(node) : 1,
+		    sink->file, node != NULL ? jj_toml_line(node) : 1,
 		    relation->table, relation->key, lower,
 		    upper / relation->factor, relation->upper_key, upper,
 		    relation->reason);
@@ -826,11 +848,12 @@
 	case KEY_U32:
 	case KEY_SIZE:
 		(void)snprintf(text, size, "an integer from %.0f to %.0f%s",
-		    key->least, key->most, key->type == KEY_MS ? " (ms)" : "");
+		    key->minimum, key->maximum,
+		    key->type == KEY_MS ? " (ms)" : "");
 		break;
 	case KEY_REAL:
-		(void)snprintf(text, size, "a number from %g to %g", key->least,
-		    key->most);
+		(void)snprintf(text, size, "a number from %g to %g",
+		    key->minimum, key->maximum);
 		break;
 	case KEY_BOOL:
 		(void)snprintf(text, size, "true or false");
@@ -864,27 +887,28 @@
 	else if (key->type >= KEY_BOOL)
 		(void)snprintf(text, size, "none");
 	else
-		(void)snprintf(text, size, "%.10g", key->initial);
+		(void)snprintf(text, size, "%.10g", key->default_value);
 }
 
-/* Writes the fault at a node; always false. */
+/* Writes the error message for a node; always returns false. */
 static bool
-fail(const check_t *check, const jj_toml_node_t *node, const char *key,
-    const char *must)
+set_error(const error_sink_t *sink, const jj_toml_node_t *node, const char *key,
+    const char *requirement)
 {
 	char value[VALUE_PRINT_MAX];
 
 	jj_toml_print(node, value, sizeof(value));
-	/* Tables print over several lines; the message is one. */
+	/* Tables print as several lines; the message has only one. */
 	value[strcspn(value, "\r\n")] = '\0';
-	(void)snprintf(check->why, check->why_size,
-	    "%s:%d: key '%.64s' = %s: %s", check->file, jj_toml_line(node), key,
-	    value, must);
+	(void)snprintf(sink->error_text, sink->error_text_size,
+	    "%s:%d: key '%.64s' = %s: %s", sink->file, jj_toml_line(node), key,
+	    value, requirement);
 	return false;
 }
 
 static const setting_t *
-find_in(const setting_t *keys, size_t count, const char *table, const char *key)
+find_setting(
+    const setting_t *keys, size_t count, const char *table, const char *key)
 {
 	size_t i;
 
@@ -899,11 +923,11 @@
 static const setting_t *
 find_key(const char *table, const char *key)
 {
-	return find_in(settings_keys, KEY_COUNT, table, key);
+	return find_setting(settings_keys, KEY_COUNT, table, key);
 }
 
 static bool
-is_table(const char *name)
+is_known_table(const char *name)
 {
 	size_t i;
 
@@ -914,7 +938,7 @@
 	return false;
 }
 
-static const list_t *
+static const table_array_t *
 find_list(const char *name)
 {
 	size_t i;
@@ -926,9 +950,9 @@
 	return NULL;
 }
 
-/* Copies this VM's names to the modules that want them. */
+/* Copies this VM's identity into the settings of the modules that use it. */
 static void
-fill_identity(jj_settings_t *settings)
+copy_identity(jj_settings_t *settings)
 {
 	jj_core_settings_t *core = &settings->core;
 
--- a/src/adapters/toml.cpp
+++ b/src/adapters/toml.cpp
@@ -1,6 +1,6 @@
 /**
  * @file toml.cpp
- * @brief tomlplusplus behind plain C functions.
+ * @brief C interface to the tomlplusplus parser.
  */
 #include <algorithm>
 #include <cerrno>
@@ -15,10 +15,10 @@
 #include <string_view>
 
 /*
- * Guards against a malformed key such as `[,a]`, which tomlplusplus 3.3.0
- * meets with an assertion: jujubed would abort at its start without a word
- * on the file, and with NDEBUG the parser would go on with what is not so.
- * Thrown from there, it ends the parse like any other error.
+ * tomlplusplus 3.3.0 fails an assertion on a malformed key such as `[,a]`.
+ * jujubed would abort at start without naming the file; with NDEBUG, the
+ * parser would continue with a violated precondition. Throwing an exception
+ * instead ends the parse like any other error.
  */
 [[noreturn]] static void fail_assertion();
 #undef NDEBUG
@@ -36,55 +36,56 @@
 static const toml::node *to_node(const jj_toml_node_t *);
 static const jj_toml_node_t *from_node(const toml::node *);
 static bool read_file(const char *, std::string &);
-static int find_fault(std::string_view);
-static size_t find_stray(std::string_view);
+static int find_assertion_line(std::string_view);
+static size_t find_non_ascii(std::string_view);
 static size_t skip_string(std::string_view, size_t);
 
 jj_toml_t *
-jj_toml_load(const char *path, char *why, size_t why_size)
+jj_toml_load(const char *path, char *error_text, size_t error_text_size)
 {
 	try {
 		std::string text;
 
 		if (!read_file(path, text)) {
-			(void)snprintf(why, why_size, "%s: cannot be read: %s",
-			    path, strerror(errno));
+			(void)snprintf(error_text, error_text_size,
+			    "%s: cannot be read: %s", path, strerror(errno));
 			return nullptr;
 		}
-		return jj_toml_parse(
-		    text.data(), text.size(), path, why, why_size);
+		return jj_toml_parse(text.data(), text.size(), path, error_text,
+		    error_text_size);
 	} catch (const std::exception &error) {
-		(void)snprintf(why, why_size, "%s: cannot be read: %s", path,
-		    error.what());
+		(void)snprintf(error_text, error_text_size,
+		    "%s: cannot be read: %s", path, error.what());
 		return nullptr;
 	}
 }
 
 jj_toml_t *
-jj_toml_parse(
-    const char *text, size_t size, const char *name, char *why, size_t why_size)
+jj_toml_parse(const char *text, size_t size, const char *name, char *error_text,
+    size_t error_text_size)
 {
 	std::string_view document(text, size);
-	size_t stray = find_stray(document);
+	size_t invalid_offset = find_non_ascii(document);
 
-	if (stray < size) {
-		(void)snprintf(why, why_size,
-		    "%s:%td: only ASCII characters may stand outside of "
+	if (invalid_offset < size) {
+		(void)snprintf(error_text, error_text_size,
+		    "%s:%td: only ASCII characters are allowed outside of "
 		    "strings and comments",
-		    name, 1 + std::count(text, text + stray, '\n'));
+		    name, 1 + std::count(text, text + invalid_offset, '\n'));
 		return nullptr;
 	}
 	try {
 		return new jj_toml{toml::parse(
 		    std::string_view(text, size), std::string_view(name))};
 	} catch (const toml::parse_error &error) {
-		(void)snprintf(why, why_size, "%s:%u: %s", name,
+		(void)snprintf(error_text, error_text_size, "%s:%u: %s", name,
 		    error.source().begin.line, error.what());
 	} catch (const std::exception &error) {
-		(void)snprintf(why, why_size, "%s:%d: %s", name,
-		    find_fault(document), error.what());
+		(void)snprintf(error_text, error_text_size, "%s:%d: %s", name,
+		    find_assertion_line(document), error.what());
 	} catch (...) {
-		(void)snprintf(why, why_size, "%s:1: not TOML", name);
+		(void)snprintf(
+		    error_text, error_text_size, "%s:1: not TOML", name);
 	}
 	return nullptr;
 }
@@ -201,7 +202,7 @@
 
 	if (entries == nullptr || index >= entries->size())
 		return nullptr;
-	/* A key holds a std::string: there is a NUL behind it. */
+	/* A key holds a std::string, so its data ends with a NUL. */
 	return std::next(entries->begin(), index)->first.str().data();
 }
 
@@ -261,7 +262,7 @@
 	throw std::logic_error("malformed key");
 }
 
-/* The opaque C node is toml's own node, never anything else. */
+/* The opaque C type always points to a toml::node. */
 static const toml::node *
 to_node(const jj_toml_node_t *node)
 {
@@ -287,11 +288,11 @@
 }
 
 /*
- * The line of a failed assertion, which does not say it: the first one with
- * which the text up to its end fails in the same way.
+ * Finds the line of a failed assertion, whose exception has no position: the
+ * first line up to whose end the text fails in the same way.
  */
 static int
-find_fault(std::string_view text)
+find_assertion_line(std::string_view text)
 {
 	size_t end = 0;
 
@@ -309,13 +310,13 @@
 }
 
 /*
- * Finds the first non-ASCII byte outside of strings and comments, or the
- * size. Guards against undefined behaviour in tomlplusplus 3.3.0: its test
- * for white space runs into __builtin_unreachable() for characters such as
- * U+036D there, and what the program does next is the compiler's choice.
+ * Finds the first non-ASCII byte outside of strings and comments; returns the
+ * text's size if there is none. Such bytes cause undefined behaviour in
+ * tomlplusplus 3.3.0: its test for white space reaches
+ * __builtin_unreachable() for characters such as U+036D.
  */
 static size_t
-find_stray(std::string_view text)
+find_non_ascii(std::string_view text)
 {
 	size_t at = text.substr(0, 3) == "\xef\xbb\xbf" ? 3 : 0;
 
@@ -334,7 +335,7 @@
 	return at;
 }
 
-/* What stands behind the string that begins here; it may be cut off. */
+/* Returns the offset behind the string at `at`, which may be unclosed. */
 static size_t
 skip_string(std::string_view text, size_t at)
 {
@@ -350,7 +351,7 @@
 		}
 		if (multiline && text.substr(at, 3) == triple) {
 			at += 3;
-			/* Two more quotes may end the content. */
+			/* The content may end with up to two quotes. */
 			while (at < text.size() && text[at] == quote)
 				at++;
 			return at;
--- a/tests/adapters/settings_test.cc
+++ b/tests/adapters/settings_test.cc
@@ -1,6 +1,6 @@
 /**
  * @file settings_test.cc
- * @brief Settings: defaults, every kind of fault, and all our examples.
+ * @brief Settings: defaults, every kind of error, and all example files.
  */
 #include <filesystem>
 #include <string>
@@ -12,31 +12,32 @@
 #include "adapters/toml.h"
 }
 
-/* All that is required, in five lines; tables may follow. */
-static const std::string least = "name = \"verona-1\"\n"
-				 "domain = \"sala-verona\"\n"
-				 "listen.callers = \"127.0.0.1:8080\"\n"
-				 "listen.operators = \"127.0.0.1:8081\"\n"
-				 "listen.neighbours = \"127.0.0.1:7400\"\n"
-				 "platform.address = \"[::1]:9000\"\n";
+/* All required keys; further keys and tables may be appended. */
+static const std::string required_keys =
+    "name = \"verona-1\"\n"
+    "domain = \"sala-verona\"\n"
+    "listen.callers = \"127.0.0.1:8080\"\n"
+    "listen.operators = \"127.0.0.1:8081\"\n"
+    "listen.neighbours = \"127.0.0.1:7400\"\n"
+    "platform.address = \"[::1]:9000\"\n";
 
 static bool
-parse(const std::string &text, jj_settings_t *settings, std::string *why)
+parse(const std::string &text, jj_settings_t *settings, std::string *error_text)
 {
 	char buffer[JJ_SETTINGS_WHY_MAX] = "";
 	bool valid = jj_settings_parse(settings, text.data(), text.size(),
 	    "t.toml", buffer, sizeof(buffer));
 
-	*why = buffer;
+	*error_text = buffer;
 	return valid;
 }
 
 TEST(Settings, HaveDefaultsAndIdentity)
 {
 	jj_settings_t settings;
-	std::string why;
+	std::string error_text;
 
-	ASSERT_TRUE(parse(least, &settings, &why)) << why;
+	ASSERT_TRUE(parse(required_keys, &settings, &error_text)) << error_text;
 	EXPECT_EQ(4U, settings.shards);
 	EXPECT_EQ(500, settings.core.member.heartbeat_ms);
 	EXPECT_EQ(8192U, settings.core.ledger.answer_max);
@@ -54,9 +55,9 @@
 TEST(Settings, ReadWhatIsSaid)
 {
 	jj_settings_t settings;
-	std::string why;
+	std::string error_text;
 
-	ASSERT_TRUE(parse(least +
+	ASSERT_TRUE(parse(required_keys +
 		"log.level = \"debug\"\ntrace.share = 1\n"
 		"batch.chunks = 0\nplatform.client = \"x\"\n"
 		"[[servers]]\nname = \"ordini-1\"\ndomain = \"sala-verona\"\n"
@@ -64,8 +65,8 @@
 		"checks_fence = true\n"
 		"[[neighbours]]\nname = \"verona-2\"\n"
 		"domain = \"sala-verona\"\naddress = \"10.0.0.2:7400\"\n",
-	    &settings, &why))
-	    << why;
+	    &settings, &error_text))
+	    << error_text;
 	EXPECT_EQ(JJ_LOG_DEBUG, settings.log.level);
 	EXPECT_DOUBLE_EQ(1, settings.trace.share);
 	EXPECT_EQ(0U, settings.batch.chunks);
@@ -81,7 +82,7 @@
 struct FaultCase {
 	const char *name;
 	std::string text;
-	const char *why;
+	const char *error_text;
 };
 
 static const std::string seed = "[[neighbours]]\nname = \"b\"\n"
@@ -92,31 +93,31 @@
     {"NotUtf8", "name = \"\xff\"\n", "t.toml:1: "},
     {"Missing", "name = \"a\"\n",
 	"t.toml:1: key 'domain' is missing: must be a string of 1 to 63"},
-    {"UnknownKey", "nmae = \"a\"\n" + least,
+    {"UnknownKey", "nmae = \"a\"\n" + required_keys,
 	"t.toml:1: key 'nmae' = 'a': must be a known key"},
-    {"UnknownInTable", least + "[batch]\nlease = 1\n",
+    {"UnknownInTable", required_keys + "[batch]\nlease = 1\n",
 	"t.toml:8: key 'batch.lease' = 1: must be a known key"},
-    {"UnknownInSeed", least + seed + "port = 1\n",
+    {"UnknownInSeed", required_keys + seed + "port = 1\n",
 	"t.toml:11: key 'neighbours.port' = 1: must be a known key"},
-    {"TableIsNumber", least + "batch = 1\n",
+    {"TableIsNumber", required_keys + "batch = 1\n",
 	"t.toml:7: key 'batch' = 1: must be a table"},
-    {"SeedsAreTable", least + "[servers]\nname = \"a\"\n",
+    {"SeedsAreTable", required_keys + "[servers]\nname = \"a\"\n",
 	"t.toml:7: key 'servers' = "},
-    {"TextForNumber", least + "shards = \"4\"\n",
+    {"TextForNumber", required_keys + "shards = \"4\"\n",
 	"t.toml:7: key 'shards' = '4': must be an integer from 1 to 64"},
-    {"RealForNumber", least + "shards = 4.0\n",
+    {"RealForNumber", required_keys + "shards = 4.0\n",
 	"t.toml:7: key 'shards' = 4.0: must be an integer from 1 to 64"},
-    {"TooSmall", least + "shards = 0\n",
+    {"TooSmall", required_keys + "shards = 0\n",
 	"t.toml:7: key 'shards' = 0: must be an integer from 1 to 64"},
-    {"TooGreat", least + "[ledger]\nretention_ms = 604800001\n",
+    {"TooGreat", required_keys + "[ledger]\nretention_ms = 604800001\n",
 	"t.toml:8: key 'ledger.retention_ms' = 604800001: must be an "
 	"integer from 60000 to 604800000 (ms)"},
-    {"Overflow", least + "shards = 4294967297\n",
+    {"Overflow", required_keys + "shards = 4294967297\n",
 	"t.toml:7: key 'shards' = 4294967297: must be"},
-    {"NotANumber", least + "trace.share = nan\n",
+    {"NotANumber", required_keys + "trace.share = nan\n",
 	"t.toml:7: key 'trace.share' = nan: must be a number from 0 to 1"},
     {"AddressHost",
-	least + seed +
+	required_keys + seed +
 	    "[[servers]]\nname = \"s\"\n"
 	    "domain = \"d\"\nservice = \"v\"\n"
 	    "address = \"localhost:80\"\n",
@@ -124,26 +125,28 @@
 	"string \"IP:PORT\""},
     {"AddressPortZero",
 	"platform.address = \"127.0.0.1:0\"\n" +
-	    least.substr(0, least.find("platform")),
+	    required_keys.substr(0, required_keys.find("platform")),
 	"t.toml:1: key 'platform.address' = '127.0.0.1:0': must be"},
     {"AddressNoPort",
 	"platform.address = \"127.0.0.1\"\n" +
-	    least.substr(0, least.find("platform")),
+	    required_keys.substr(0, required_keys.find("platform")),
 	"must be a string \"IP:PORT\""},
     {"AddressPortWords",
 	"platform.address = \"127.0.0.1:80x\"\n" +
-	    least.substr(0, least.find("platform")),
+	    required_keys.substr(0, required_keys.find("platform")),
 	"must be a string \"IP:PORT\""},
-    {"NameWithSlash", "region = \"a/b\"\n" + least,
+    {"NameWithSlash", "region = \"a/b\"\n" + required_keys,
 	"t.toml:1: key 'region' = 'a/b': must be a string of 1 to 63"},
-    {"NameTooLong", "region = \"" + std::string(64, 'a') + "\"\n" + least,
+    {"NameTooLong",
+	"region = \"" + std::string(64, 'a') + "\"\n" + required_keys,
 	"must be a string of 1 to 63"},
-    {"NulInText", "data_folder = \"a\\u0000b\"\n" + least, "must be a path"},
-    {"Level", least + "log.level = \"loud\"\n",
+    {"NulInText", "data_folder = \"a\\u0000b\"\n" + required_keys,
+	"must be a path"},
+    {"Level", required_keys + "log.level = \"loud\"\n",
 	"key 'log.level' = 'loud': must be \"error\", \"warn\""},
-    {"Twins", least + seed + seed,
+    {"Twins", required_keys + seed + seed,
 	"t.toml:12: key 'neighbours.name' = 'b': must be unique"},
-    {"Relation", least + "[batch]\ncheckpoint_ms = 8000\n",
+    {"Relation", required_keys + "[batch]\ncheckpoint_ms = 8000\n",
 	"t.toml:8: key 'batch.checkpoint_ms' = 8000: must be at most 7500 "
 	"(batch.lease_ms = 15000)"},
 };
@@ -155,10 +158,11 @@
 TEST_P(SettingsFault, NamesLineKeyValueAndBound)
 {
 	jj_settings_t settings;
-	std::string why;
+	std::string error_text;
 
-	EXPECT_FALSE(parse(GetParam().text, &settings, &why));
-	EXPECT_NE(std::string::npos, why.find(GetParam().why)) << why;
+	EXPECT_FALSE(parse(GetParam().text, &settings, &error_text));
+	EXPECT_NE(std::string::npos, error_text.find(GetParam().error_text))
+	    << error_text;
 	EXPECT_EQ(nullptr, settings.neighbours);
 	EXPECT_STREQ("", settings.name.text);
 }
@@ -168,13 +172,13 @@
 
 TEST(Settings, MissingFileIsSaid)
 {
-	char why[JJ_SETTINGS_WHY_MAX];
+	char error_text[JJ_SETTINGS_WHY_MAX];
 	jj_settings_t settings;
 
-	EXPECT_FALSE(
-	    jj_settings_load(&settings, "no/such.toml", why, sizeof(why)));
-	EXPECT_STREQ(
-	    "no/such.toml: cannot be read: No such file or directory", why);
+	EXPECT_FALSE(jj_settings_load(
+	    &settings, "no/such.toml", error_text, sizeof(error_text)));
+	EXPECT_STREQ("no/such.toml: cannot be read: No such file or directory",
+	    error_text);
 }
 
 TEST(Settings, ExamplesLoad)
@@ -184,13 +188,14 @@
 
 		for (const auto &entry :
 		    std::filesystem::directory_iterator(folder)) {
-			char why[JJ_SETTINGS_WHY_MAX] = "";
+			char error_text[JJ_SETTINGS_WHY_MAX] = "";
 			jj_settings_t settings;
 
 			count++;
-			EXPECT_TRUE(jj_settings_load(
-			    &settings, entry.path().c_str(), why, sizeof(why)))
-			    << why;
+			EXPECT_TRUE(
+			    jj_settings_load(&settings, entry.path().c_str(),
+				error_text, sizeof(error_text)))
+			    << error_text;
 			jj_settings_clear(&settings);
 		}
 		EXPECT_EQ(3, count) << folder;
@@ -213,16 +218,16 @@
 }
 
 /*
- * A settings file with a stray accent makes the VM do anything at its start.
- * Cause: tomlplusplus 3.3.0 runs into __builtin_unreachable() for some
- * characters outside of strings (found by fuzzing, shown by UBSan).
+ * Failure: undefined behaviour at start when a settings file has a non-ASCII
+ * character outside of strings. Cause: tomlplusplus 3.3.0 reaches
+ * __builtin_unreachable() for some of them (found by fuzzing, with UBSan).
  */
 TEST(TomlFailure, StrayCharactersAreAnError)
 {
 	const struct {
 		const char *name;
 		std::string text;
-		const char *why; /**< NULL: valid */
+		const char *error_text; /**< NULL: valid */
 	} cases[] = {
 	    {"Key", "\u036dX = 1", "t.toml:1: only ASCII"},
 	    {"Value", "a = 1\nb = \u036d", "t.toml:2: only ASCII"},
@@ -237,30 +242,31 @@
 	};
 
 	for (const auto &row : cases) {
-		char why[JJ_SETTINGS_WHY_MAX] = "";
+		char error_text[JJ_SETTINGS_WHY_MAX] = "";
 		jj_toml_t *toml = jj_toml_parse(row.text.data(),
-		    row.text.size(), "t.toml", why, sizeof(why));
+		    row.text.size(), "t.toml", error_text, sizeof(error_text));
 
-		EXPECT_EQ(row.why == nullptr, toml != nullptr)
-		    << row.name << ": " << why;
+		EXPECT_EQ(row.error_text == nullptr, toml != nullptr)
+		    << row.name << ": " << error_text;
 		EXPECT_EQ(0U,
-		    std::string(why).find(row.why == nullptr ? "" : row.why))
-		    << row.name << ": " << why;
+		    std::string(error_text)
+			.find(row.error_text == nullptr ? "" : row.error_text))
+		    << row.name << ": " << error_text;
 		jj_toml_destroy(toml);
 	}
 }
 
 /*
- * jujubed aborts at its start without a word on which file is wrong. Order
- * of events: an operator slips on a key, `[,a]`; cause: tomlplusplus 3.3.0
- * meets it with an assertion (found by fuzzing).
+ * Failure: jujubed aborts at start without naming the invalid file. Cause:
+ * tomlplusplus 3.3.0 fails an assertion on a malformed key such as `[,a]`
+ * (found by fuzzing).
  */
 TEST(TomlFailure, MalformedKeysAreAnError)
 {
 	const struct {
 		const char *name;
 		const char *text;
-		const char *why;
+		const char *error_text;
 	} cases[] = {
 	    {"Table", "a = 1\n[,b]\nc = 1\n", "t.toml:2: malformed key"},
 	    {"Array", "[[=b]]\n", "t.toml:1: malformed key"},
@@ -269,23 +275,23 @@
 	};
 
 	for (const auto &row : cases) {
-		char why[JJ_SETTINGS_WHY_MAX] = "";
+		char error_text[JJ_SETTINGS_WHY_MAX] = "";
 
 		EXPECT_EQ(nullptr,
-		    jj_toml_parse(row.text, strlen(row.text), "t.toml", why,
-			sizeof(why)));
-		EXPECT_EQ(0U, std::string(why).find(row.why))
-		    << row.name << ": " << why;
+		    jj_toml_parse(row.text, strlen(row.text), "t.toml",
+			error_text, sizeof(error_text)));
+		EXPECT_EQ(0U, std::string(error_text).find(row.error_text))
+		    << row.name << ": " << error_text;
 	}
 }
 
-/* Far more nesting than any setting needs must not exhaust the stack. */
+/* Nesting far deeper than any setting needs must not exhaust the stack. */
 TEST(Toml, DeepNestingIsAnErrorNotACrash)
 {
 	std::string text = "a = " + std::string(100000, '[');
-	char why[JJ_SETTINGS_WHY_MAX];
+	char error_text[JJ_SETTINGS_WHY_MAX];
 
 	EXPECT_EQ(nullptr,
-	    jj_toml_parse(
-		text.data(), text.size(), "t.toml", why, sizeof(why)));
+	    jj_toml_parse(text.data(), text.size(), "t.toml", error_text,
+		sizeof(error_text)));
 }
