--- a/src/adapters/log.c
+++ b/src/adapters/log.c
@@ -1,9 +1,10 @@
 /**
  * @file log.c
- * @brief Event lines through a log4c category with our own appender.
+ * @brief Writes event lines through a log4c category with its own appender.
  *
- * log4c_init() is left out on purpose: it would read log4crc files from the
- * working folder and the user's home, and settings come from one file only.
+ * log4c_init() is deliberately not called: it would read log4crc files from
+ * the working folder and the user's home, but all settings of a VM come from
+ * its one settings file.
  */
 #include <errno.h>
 #include <fcntl.h>
@@ -22,19 +23,19 @@
 #include "adapters/runtime.h"
 #include "core/types.h"
 
-/** Longest value before it is quoted, bytes. */
+/** Maximum size of a value before quoting, bytes. */
 #define VALUE_MAX 1024
-/** Longest conversion, as in `%-08.3llu`. */
+/** Maximum size of a conversion such as `%-08.3llu`, bytes. */
 #define CONVERSION_MAX 24
 
 /**
- * Most lines to standard output in a window: several for each of some hundred
- * requests a second, the most that a small VM serves.
+ * Maximum lines to standard output in one window: several lines for each of
+ * a few hundred requests per second, the maximum load of a small VM.
  */
-#define BOUND_LINES 1500
-#define BOUND_WINDOW_MS 1000
+#define STDOUT_LINES_MAX 1500
+#define STDOUT_WINDOW_MS 1000
 
-/** A line under construction; always ends with a NUL. */
+/** Buffer in which a line is built; always ends with a NUL. */
 typedef struct {
 	char text[JJ_LOG_LINE_MAX];
 	size_t used;
@@ -57,13 +58,13 @@
 static const char *
 format_event(const log4c_layout_t *, const log4c_logging_event_t *);
 static int append_event(log4c_appender_t *, const log4c_logging_event_t *);
-static void write_line(const char *);
+static void write_to_stdout(const char *);
 static void set_nonblocking(int);
 static void set_up_category(void);
 static void append_text(line_t *, const char *, size_t);
 static void append_escaped(line_t *, const char *, size_t, bool);
 static void append_value(line_t *, const char *, size_t);
-static void append_head(line_t *, jj_log_level_t, const char *);
+static void append_header(line_t *, jj_log_level_t, const char *);
 static void append_pairs(line_t *, const char *, va_list *);
 static const char *append_pair(line_t *, const char *, va_list *);
 static size_t
@@ -75,15 +76,15 @@
 static const log4c_appender_type_t appender_type = {
     "jujube_stream", NULL, append_event, NULL};
 
-/** Guards all that follows, and keeps lines whole and in order. */
+/** Guards the variables below, and keeps lines whole and in order. */
 static jj_static_lock_t log_lock;
 static log4c_category_t *log_category;
 static FILE *log_stream; /**< NULL: closed */
 static int log_priority = LOG4C_PRIORITY_INFO;
 static jj_name_t log_vm = {"-"};
-static jj_ms_t log_window_ms; /**< when the window began */
+static jj_ms_t log_window_ms; /**< start of the current window */
 static unsigned int log_window_lines;
-static unsigned long log_dropped; /**< lines since the last one written */
+static unsigned long log_dropped; /**< dropped since the last line written */
 
 bool
 jj_log_open(jj_log_level_t level, const char *file)
@@ -148,7 +149,7 @@
 	jj_runtime_lock_static(&log_lock);
 	if (log_stream == NULL || priorities[level] > log_priority)
 		goto out;
-	append_head(&line, level, event);
+	append_header(&line, level, event);
 	va_start(args, format);
 	append_pairs(&line, format, &args);
 	va_end(args);
@@ -157,7 +158,7 @@
 	jj_runtime_unlock_static(&log_lock);
 }
 
-/* The line is ready when it comes here: log4c adds nothing to it. */
+/* The message is already a complete line; log4c adds nothing to it. */
 static const char *
 format_event(const log4c_layout_t *layout, const log4c_logging_event_t *event)
 {
@@ -170,7 +171,7 @@
 {
 	(void)appender;
 	if (log_stream == stdout) {
-		write_line(event->evt_rendered_msg);
+		write_to_stdout(event->evt_rendered_msg);
 		return 0;
 	}
 	(void)fprintf(log_stream, "%s\n", event->evt_rendered_msg);
@@ -178,31 +179,32 @@
 }
 
 /**
- * Guards against a reader of the log that is slow or gone: a write that waits
- * would hold up every thread that logs, and requests with them. A line that
- * cannot be written now, or is over the bound, is dropped and counted; the
- * next one that goes out says how many.
+ * Writes a line to standard output without blocking. If the reader of the log
+ * is slow or gone, a blocking write would delay every thread that logs, and
+ * their requests. A line that cannot be written at once, or exceeds the limit,
+ * is dropped and counted; the next line written is preceded by the count.
  */
 static void
-write_line(const char *text)
+write_to_stdout(const char *text)
 {
-	char lost[80];
+	char drop_notice[80];
 	struct iovec parts[3] = {
-	    {lost, 0}, {(void *)text, strlen(text)}, {(void *)"\n", 1}};
+	    {drop_notice, 0}, {(void *)text, strlen(text)}, {(void *)"\n", 1}};
 	jj_ms_t now = jj_monotonic_now();
 
-	if (now - log_window_ms >= BOUND_WINDOW_MS) {
+	if (now - log_window_ms >= STDOUT_WINDOW_MS) {
 		log_window_ms = now;
 		log_window_lines = 0;
 	}
-	if (log_window_lines >= BOUND_LINES) {
+	if (log_window_lines >= STDOUT_LINES_MAX) {
 		log_dropped++;
 		return;
 	}
 	log_window_lines++;
 	if (log_dropped > 0)
-		parts[0].iov_len = (size_t)snprintf(lost, sizeof(lost),
-		    "event=log_dropped lines=%lu\n", log_dropped);
+		parts[0].iov_len =
+		    (size_t)snprintf(drop_notice, sizeof(drop_notice),
+			"event=log_dropped lines=%lu\n", log_dropped);
 	if (writev(STDOUT_FILENO, parts, 3) < 0)
 		log_dropped++;
 	else
@@ -242,18 +244,19 @@
 static void
 append_text(line_t *line, const char *text, size_t size)
 {
-	size_t room = sizeof(line->text) - 1 - line->used;
+	size_t free_size = sizeof(line->text) - 1 - line->used;
 
-	if (size > room)
-		size = room;
+	if (size > free_size)
+		size = free_size;
 	memcpy(line->text + line->used, text, size);
 	line->used += size;
 	line->text[line->used] = '\0';
 }
 
 /*
- * Guards against forged lines: a caller's text with a newline in it would
- * look like an event of its own, and with a quote in it like further pairs.
+ * Escapes control characters, and in quoted values quotes and backslashes. A
+ * newline in a caller's text would otherwise forge an event, and a quote would
+ * forge key=value pairs.
  */
 static void
 append_escaped(line_t *line, const char *text, size_t size, bool quoted)
@@ -302,16 +305,16 @@
 }
 
 static void
-append_head(line_t *line, jj_log_level_t level, const char *event)
+append_header(line_t *line, jj_log_level_t level, const char *event)
 {
 	uint64_t ms = jj_unix_now_ns() / 1000000;
-	char head[256];
+	char header[256];
 
-	(void)snprintf(head, sizeof(head),
+	(void)snprintf(header, sizeof(header),
 	    "event=%s ts=%llu.%03llu level=%s vm=", event,
 	    (unsigned long long)(ms / 1000), (unsigned long long)(ms % 1000),
 	    level_names[level]);
-	append_text(line, head, strlen(head));
+	append_text(line, header, strlen(header));
 	append_value(line, log_vm.text, strlen(log_vm.text));
 }
 
@@ -328,7 +331,7 @@
 	}
 }
 
-/* One `key=format` up to a space; returns what is behind it. */
+/* Appends one `key=format` that ends at a space; returns its end. */
 static const char *
 append_pair(line_t *line, const char *format, va_list *args)
 {
@@ -350,7 +353,7 @@
 	return end;
 }
 
-/* Formats from `format` to `end` and returns how many bytes it took. */
+/* Formats the text from `format` to `end`; returns the value's size. */
 static size_t
 format_value(const char *format, const char *end, char *value, size_t size,
     va_list *args)
@@ -373,7 +376,7 @@
 	return used;
 }
 
-/* Copies one conversion and returns what is behind it. */
+/* Copies one conversion and returns its end in `format`. */
 static const char *
 copy_conversion(const char *format, char *conversion)
 {
@@ -387,8 +390,8 @@
 }
 
 /*
- * One value through snprintf. Formatting all pairs at once would be shorter,
- * but then a space in a value cannot be told from one between pairs.
+ * Formats one conversion with snprintf. If all pairs were formatted by one
+ * call, a space in a value would look like a space between pairs.
  */
 static size_t
 format_conversion(
--- a/src/adapters/log.h
+++ b/src/adapters/log.h
@@ -17,30 +17,31 @@
 	JJ_LOG_DEBUG,
 } jj_log_level_t;
 
-/** Longest line in bytes, its end included; what is longer is cut. */
+/** Maximum line length with its newline, bytes; longer lines are truncated. */
 #define JJ_LOG_LINE_MAX 4096
 
-/** Stands for standard output in place of a file. */
+/** File name that selects standard output. */
 #define JJ_LOG_STDOUT "-"
 
 /**
- * Opens the log for events of @p level and graver ones.
+ * Opens the log for events of @p level and more severe ones.
  * @param file is appended to; NULL: standard error; JJ_LOG_STDOUT: standard
- * output, which never waits for its reader and is bounded in lines a second.
- * @return false when the file cannot be opened (errno says why).
+ * output, where writes never block and lines per second are limited.
+ * @return false when the file cannot be opened (errno holds the error).
  */
 bool jj_log_open(jj_log_level_t level, const char *file);
-/** Closes the log; later events are dropped. */
+/** Closes the log; later events are discarded. */
 void jj_log_close(void);
 /** Sets the VM's name in all later lines. */
 void jj_log_set_name(const char *name);
 /** Parses `error`, `warn`, `info` or `debug`; false for anything else. */
 bool jj_log_parse_level(const char *text, jj_log_level_t *level);
 /**
- * Writes one event. @p format is `key=CONVERSION` pairs with one space
- * between; a value that needs it is quoted, so that what a caller sent can
- * neither begin a new pair nor a new line. A conversion without a key
- * (`"%s"`) takes ready pairs, of which only control characters are escaped.
+ * Writes one event. @p format is `key=CONVERSION` pairs separated by one
+ * space. Values are quoted where necessary, so that text from a caller can
+ * start neither a new pair nor a new line. A conversion without a key
+ * (`"%s"`) takes preformatted pairs, in which only control characters are
+ * escaped.
  * Conversions: d i u x c s f g with h, l, ll, z, j, width and precision.
  */
 void jj_log(jj_log_level_t level, const char *event, const char *format, ...)
--- a/src/adapters/metrics.c
+++ b/src/adapters/metrics.c
@@ -1,6 +1,6 @@
 /**
  * @file metrics.c
- * @brief A registry of families of series; values are atomics.
+ * @brief Registry of metric families and their series; values are atomic.
  */
 #include <inttypes.h>
 #include <stdatomic.h>
@@ -13,9 +13,9 @@
 #include "adapters/metrics.h"
 #include "adapters/runtime.h"
 
-/** Bounds of histogram buckets: 100 us * 2^(i/2), up to about 200 s. */
+/** Number of histogram bucket bounds: about 100 us * 2^(i/2), up to 210 s. */
 #define BUCKET_COUNT 43
-/** Longest metric name, label name or label value, bytes. */
+/** Size of a metric name, label name or label value with its NUL, bytes. */
 #define TEXT_MAX 128
 
 typedef enum {
@@ -33,11 +33,11 @@
 };
 
 struct jj_histogram {
-	_Atomic uint64_t buckets[BUCKET_COUNT + 1]; /**< the last: beyond */
+	_Atomic uint64_t buckets[BUCKET_COUNT + 1]; /**< the last one: +Inf */
 	_Atomic uint64_t sum_us;
 };
 
-/** One label value's numbers. */
+/** The metric's values for one label value. */
 typedef struct series {
 	STAILQ_ENTRY(series) link;
 	char label[TEXT_MAX];
@@ -72,7 +72,7 @@
     FILE *, const family_t *, const series_t *, const char *, const char *);
 static void print_escaped(FILE *, const char *, bool);
 
-/** Guards the lists only: values change without it, series never go. */
+/** Guards the lists only: values are atomic, and series are never removed. */
 static jj_static_lock_t registry_lock;
 static STAILQ_HEAD(, family) families = STAILQ_HEAD_INITIALIZER(families);
 
@@ -108,20 +108,21 @@
 }
 
 void
-jj_counter_add(jj_counter_t *counter, uint64_t more)
+jj_counter_add(jj_counter_t *counter, uint64_t amount)
 {
-	atomic_fetch_add_explicit(&counter->total, more, memory_order_relaxed);
+	atomic_fetch_add_explicit(
+	    &counter->total, amount, memory_order_relaxed);
 }
 
 void
 jj_counter_set(jj_counter_t *counter, uint64_t total)
 {
-	uint64_t now =
+	uint64_t current =
 	    atomic_load_explicit(&counter->total, memory_order_relaxed);
 
-	/* A counter that steps back looks like a restart to its reader. */
-	while (total > now &&
-	    !atomic_compare_exchange_weak(&counter->total, &now, total))
+	/* Prometheus takes a decreasing counter for a process restart. */
+	while (total > current &&
+	    !atomic_compare_exchange_weak(&counter->total, &current, total))
 		continue;
 }
 
@@ -144,9 +145,9 @@
 }
 
 void
-jj_gauge_add(jj_gauge_t *gauge, int64_t more)
+jj_gauge_add(jj_gauge_t *gauge, int64_t amount)
 {
-	atomic_fetch_add_explicit(&gauge->value, more, memory_order_relaxed);
+	atomic_fetch_add_explicit(&gauge->value, amount, memory_order_relaxed);
 }
 
 int64_t
@@ -220,7 +221,7 @@
 	{
 		if (strcmp(family->name, name) != 0)
 			continue;
-		/* Two uses of one name: the program is wrong, not its input */
+		/* One name for metrics of two types is a programming error. */
 		JJ_INVARIANT(family->type == type);
 		return family;
 	}
@@ -237,9 +238,9 @@
 }
 
 /*
- * Finds or adds a series. The bound guards against label values that callers
- * choose, such as team names: each would take memory for ever, here and in
- * whatever reads the metrics.
+ * Finds or adds a series. Their number is limited because callers choose some
+ * label values, such as team names, and each series takes memory permanently,
+ * here and in the monitoring system.
  */
 static series_t *
 add_series(family_t *family, const char *label)
@@ -306,7 +307,7 @@
 	}
 }
 
-/* Each bucket is read once, so that `+Inf` and `_count` always agree. */
+/* Each bucket is read only once, so that `+Inf` and `_count` are equal. */
 static void
 print_histogram(FILE *stream, const family_t *family, series_t *series)
 {
@@ -332,7 +333,7 @@
 	(void)fprintf(stream, " %" PRIu64 "\n", count);
 }
 
-/* The name with its labels; `bound` is the `le` of a bucket or NULL. */
+/* Prints a name with its labels; `bound` is the `le` of a bucket or NULL. */
 static void
 print_name(FILE *stream, const family_t *family, const series_t *series,
     const char *suffix, const char *bound)
--- a/src/adapters/trace.c
+++ b/src/adapters/trace.c
@@ -1,10 +1,10 @@
 /**
  * @file trace.c
- * @brief Spans: a ring of the newest ones and an OTLP JSON file.
+ * @brief Keeps the newest spans in a ring and exports them as OTLP JSON.
  *
- * Lock order: write_lock, then trace_lock. Ending a span takes trace_lock
- * only, for a copy; the file is written without it, so that a slow disk
- * never holds up a request.
+ * Lock order: write_lock, then trace_lock. Ending a span takes only
+ * trace_lock, to copy the span. The file is written without trace_lock, so
+ * that a slow disk does not delay requests.
  */
 #include <errno.h>
 #include <inttypes.h>
@@ -18,11 +18,11 @@
 #include "adapters/runtime.h"
 #include "adapters/trace.h"
 
-/** Ring size when the settings name none. */
+/** Ring size if the settings give none, spans. */
 #define RING_DEFAULT 2048
-/** Most spans that wait for the file; what comes beyond is dropped. */
+/** Maximum spans waiting to be written; further spans are dropped. */
 #define PENDING_MAX 4096
-/** Most spans in one line of the file. */
+/** Maximum spans in one line of the file. */
 #define LINE_SPANS_MAX 512
 /** Length of a traceparent of version 00. */
 #define PARENT_LENGTH 55
@@ -54,31 +54,31 @@
 static int hex_digit(char);
 static void write_hex(const uint8_t *, size_t, char *);
 static bool is_zero(const uint8_t *, size_t);
-static void copy_cut(char *, size_t, const char *);
+static void copy_truncated(char *, size_t, const char *);
 static bool choose_sampled(const uint8_t[16]);
 static void start_writer(void);
 static void *APR_THREAD_FUNC run_writer(apr_thread_t *, void *);
-static bool writer_goes_on(void);
+static bool is_writer_running(void);
 static void write_spans(const jj_span_t *, size_t);
 static json_t *encode_request(const jj_span_t *, size_t);
 static json_t *encode_span(const jj_span_t *);
 static json_t *encode_attribute(const char *, const char *);
 static json_t *encode_text(const char *);
 
-/** Guards all that follows but the file. */
+/** Guards the variables below, except the file. */
 static jj_static_lock_t trace_lock;
 static jj_name_t trace_vm;
 static double trace_share;
 static jj_ms_t trace_flush_ms;
-static jj_span_t *ring; /**< NULL: closed */
+static jj_span_t *ring; /**< NULL: tracer closed */
 static size_t ring_size;
-static uint64_t ring_count; /**< spans ever put in */
-static jj_span_t *pending; /**< NULL: no file */
+static uint64_t ring_count; /**< spans added since opening */
+static jj_span_t *pending; /**< to be written; NULL: no file */
 static size_t pending_count;
 static uint64_t dropped;
-static bool writer_stops;
-static apr_pool_t *writer_pool; /**< owns the two that follow */
-static apr_thread_t *writer; /**< NULL: none runs */
+static bool writer_stopping;
+static apr_pool_t *writer_pool; /**< owns writer and writer_waker */
+static apr_thread_t *writer; /**< NULL: not running */
 static apr_pollset_t *writer_waker;
 
 /** Guards the file. */
@@ -118,16 +118,16 @@
 void
 jj_trace_close(void)
 {
-	apr_thread_t *ending;
+	apr_thread_t *stopping;
 
 	jj_runtime_lock_static(&trace_lock);
-	ending = writer;
-	writer_stops = true;
+	stopping = writer;
+	writer_stopping = true;
 	writer = NULL;
 	jj_runtime_unlock_static(&trace_lock);
-	if (ending != NULL) {
+	if (stopping != NULL) {
 		(void)apr_pollset_wakeup(writer_waker);
-		jj_runtime_join_thread(ending);
+		jj_runtime_join_thread(stopping);
 		apr_pool_destroy(writer_pool);
 	}
 	jj_trace_flush();
@@ -157,7 +157,7 @@
 		return false;
 	if (!read_hex(text, 1, &version) || version == 0xff)
 		return false;
-	/* A later version may be longer, but only behind another dash. */
+	/* Later versions may have more fields, each preceded by a dash. */
 	if (length > PARENT_LENGTH &&
 	    (version == 0 || text[PARENT_LENGTH] != '-'))
 		return false;
@@ -203,14 +203,14 @@
 		span->sampled = parent->sampled;
 	} else {
 		jj_random_fill(span->trace, sizeof(span->trace));
-		span->trace[0] |= 1; /* never all zero */
+		span->trace[0] |= 1; /* all zero is invalid */
 		span->sampled = choose_sampled(span->trace);
 	}
 	jj_random_fill(span->id, sizeof(span->id));
 	span->id[0] |= 1;
 	span->hop = hop;
 	span->start_ns = unix_ns;
-	copy_cut(span->name, sizeof(span->name), name);
+	copy_truncated(span->name, sizeof(span->name), name);
 }
 
 void
@@ -221,15 +221,15 @@
 	if (span->attribute_count >= JJ_TRACE_ATTRIBUTES_MAX)
 		return;
 	attribute = &span->attributes[span->attribute_count++];
-	copy_cut(attribute->key, sizeof(attribute->key), key);
-	copy_cut(attribute->value, sizeof(attribute->value), value);
+	copy_truncated(attribute->key, sizeof(attribute->key), key);
+	copy_truncated(attribute->value, sizeof(attribute->value), value);
 }
 
 void
 jj_trace_end(jj_span_t *span, bool failed, uint64_t unix_ns)
 {
 	span->failed = failed;
-	/* The wall clock may have stepped back since the start. */
+	/* The wall clock may have been set back since the start. */
 	span->end_ns = unix_ns > span->start_ns ? unix_ns : span->start_ns;
 	jj_runtime_lock_static(&trace_lock);
 	if (ring == NULL)
@@ -251,7 +251,7 @@
 	jj_span_t *spans = NULL;
 	size_t count, at, part;
 
-	/* Taken first: two flushes must not swap lines of one trace. */
+	/* Locked first, so that two flushes write their lines in order. */
 	jj_runtime_lock_static(&write_lock);
 	jj_runtime_lock_static(&trace_lock);
 	count = pending_count;
@@ -308,8 +308,8 @@
 }
 
 /*
- * Copies a trace's spans out of the ring: requests that end meanwhile wait
- * for the copy only, not for its JSON.
+ * Copies a trace's spans out of the ring, so that requests that end meanwhile
+ * wait only for the copy, not for its encoding as JSON.
  */
 static size_t
 copy_trace(const uint8_t trace[16], jj_span_t **spans)
@@ -331,7 +331,7 @@
 	return count;
 }
 
-/* Lower-case digits only, as the specification asks. */
+/* Accepts only lower-case digits, as W3C Trace Context requires. */
 static bool
 read_hex(const char *text, size_t size, uint8_t *bytes)
 {
@@ -383,9 +383,9 @@
 	return true;
 }
 
-/* Cuts before a character of several bytes, never inside it. */
+/* Truncates between UTF-8 characters, never inside one. */
 static void
-copy_cut(char *to, size_t size, const char *from)
+copy_truncated(char *to, size_t size, const char *from)
 {
 	size_t length = strnlen(from, size);
 
@@ -399,7 +399,7 @@
 	to[length] = '\0';
 }
 
-/* Decided by the trace's own bits: every VM would decide alike. */
+/* Decided from bits of the trace id, so that all VMs decide alike. */
 static bool
 choose_sampled(const uint8_t trace[16])
 {
@@ -413,11 +413,11 @@
 	return (double)bits < share * 4294967296.0;
 }
 
-/* Without it spans reach the file at jj_trace_flush and at the end only. */
+/* Without this thread, only jj_trace_flush and jj_trace_close write spans. */
 static void
 start_writer(void)
 {
-	writer_stops = false;
+	writer_stopping = false;
 	writer_pool = jj_runtime_create_pool();
 	writer_waker = jj_runtime_create_waker(writer_pool);
 	if (writer_waker != NULL)
@@ -431,7 +431,7 @@
 {
 	(void)thread;
 	(void)unused;
-	while (writer_goes_on()) {
+	while (is_writer_running()) {
 		jj_runtime_wait(writer_waker, trace_flush_ms);
 		jj_trace_flush();
 	}
@@ -439,17 +439,17 @@
 }
 
 static bool
-writer_goes_on(void)
+is_writer_running(void)
 {
-	bool goes_on;
+	bool running;
 
 	jj_runtime_lock_static(&trace_lock);
-	goes_on = !writer_stops;
+	running = !writer_stopping;
 	jj_runtime_unlock_static(&trace_lock);
-	return goes_on;
+	return running;
 }
 
-/* One ExportTraceServiceRequest as one line. */
+/* Writes one OTLP ExportTraceServiceRequest as one line. */
 static void
 write_spans(const jj_span_t *spans, size_t count)
 {
@@ -515,7 +515,7 @@
 	    encode_text(value));
 }
 
-/* What is not UTF-8, such as a caller's header, JSON cannot hold. */
+/* JSON cannot represent text that is not UTF-8, such as some headers. */
 static json_t *
 encode_text(const char *text)
 {
--- a/tests/adapters/log_test.cc
+++ b/tests/adapters/log_test.cc
@@ -1,6 +1,6 @@
 /**
  * @file log_test.cc
- * @brief One whole line per event, whatever the values hold.
+ * @brief Each event is one complete line, whatever its values contain.
  */
 #include <fstream>
 #include <functional>
@@ -17,9 +17,9 @@
 #include "adapters/log.h"
 }
 
-/* How many bytes at its beginning match a POSIX extended expression. */
+/* End of the first match of a POSIX extended expression; 0: no match. */
 static size_t
-matching(const std::string &text, const char *pattern)
+match_end(const std::string &text, const char *pattern)
 {
 	regex_t compiled;
 	regmatch_t match;
@@ -30,7 +30,7 @@
 	return result == 0 ? static_cast<size_t>(match.rm_eo) : 0;
 }
 
-/* Opens a log file of its own and reads it back. */
+/* Opens a log file per process and reads it back. */
 class Log : public testing::Test
 {
       protected:
@@ -103,7 +103,7 @@
 	std::vector<std::string> all = lines();
 	ASSERT_EQ(std::size(cases), all.size());
 	for (size_t i = 0; i < all.size(); i++) {
-		size_t head = matching(all[i],
+		size_t head = match_end(all[i],
 		    "^event=e ts=[0-9]+[.][0-9]{3} level=info vm=verona-1");
 
 		ASSERT_GT(head, 0U) << all[i];
@@ -112,9 +112,9 @@
 }
 
 /*
- * An operator reads of an event that never was. Order of events: a caller
- * sends a header with a newline and `event=...` behind it, the value is
- * logged as it came, and the line breaks in two.
+ * Failure: the log shows an event that did not happen. A caller sends a header
+ * with a newline followed by `event=...`; logged unescaped, it would split the
+ * line in two.
  */
 TEST_F(Log, CallersCannotForgeLinesOrPairs)
 {
@@ -173,7 +173,7 @@
 		thread.join();
 	ASSERT_EQ(800U, lines().size());
 	for (const std::string &text : lines())
-		EXPECT_GT(matching(text, line), 0U) << text;
+		EXPECT_GT(match_end(text, line), 0U) << text;
 }
 
 TEST(LogFile, CannotBeOpened)
--- a/tests/adapters/metrics_test.cc
+++ b/tests/adapters/metrics_test.cc
@@ -1,6 +1,6 @@
 /**
  * @file metrics_test.cc
- * @brief Series and their text. Names differ per test: series never go.
+ * @brief Series and their text. Tests use distinct names, as series persist.
  */
 #include <string>
 #include <thread>
@@ -50,9 +50,9 @@
 }
 
 /*
- * A rate shows a huge spike. Order of events: a total is read elsewhere by
- * two threads, the older reading is set last, and the counter steps back,
- * which its reader takes for a restart.
+ * Failure: a rate shows a huge spike. Two threads read a total elsewhere, the
+ * older reading is set last, and the counter decreases, which Prometheus takes
+ * for a restart.
  */
 TEST(MetricsFailure, CountersNeverStepBack)
 {
@@ -105,8 +105,8 @@
 }
 
 /*
- * A VM's memory creeps up for months. Order of events: callers name ever new
- * teams, each name makes a series, and series are never freed.
+ * Failure: a VM's memory grows over months. Callers keep sending new team
+ * names, each name adds a series, and series are never freed.
  */
 TEST(MetricsFailure, LabelValuesAreBounded)
 {
--- a/tests/adapters/trace_test.cc
+++ b/tests/adapters/trace_test.cc
@@ -1,6 +1,6 @@
 /**
  * @file trace_test.cc
- * @brief Trace context, the ring of spans and the OTLP file.
+ * @brief W3C trace context, the ring of spans and the OTLP file.
  */
 #include <cstring>
 #include <fstream>
@@ -41,7 +41,7 @@
 		unlink(path.c_str());
 	}
 
-	/* All spans in the file. */
+	/* Returns all spans in the file. */
 	std::vector<json_t *>
 	exported()
 	{
@@ -194,7 +194,7 @@
 {
 	const struct {
 		double share;
-		int least, most;
+		int minimum, maximum;
 	} cases[] = {{0, 0, 0}, {1, 1000, 1000}, {0.5, 350, 650}};
 
 	for (const auto &row : cases) {
@@ -207,14 +207,14 @@
 			    &span, nullptr, JJ_HOP_CALLER, "call", 1);
 			sampled += span.sampled;
 		}
-		EXPECT_GE(sampled, row.least);
-		EXPECT_LE(sampled, row.most);
+		EXPECT_GE(sampled, row.minimum);
+		EXPECT_LE(sampled, row.maximum);
 	}
 }
 
 /*
- * A VM runs out of memory on a busy night. Order of events: the disk of the
- * trace file hangs, spans go on ending, and all of them wait for the writer.
+ * Failure: a VM runs out of memory under load. The disk of the trace file
+ * hangs while requests continue, and all ended spans wait for the writer.
  */
 TEST_F(Trace, SpansThatWaitAreBounded)
 {
