--- a/src/adapters/metrics.c
+++ b/src/adapters/metrics.c
@@ -13,7 +13,7 @@
 #include "adapters/metrics.h"
 #include "adapters/runtime.h"
 
-/** Number of histogram bucket bounds: about 100 us * 2^(i/2), up to 210 s. */
+/** Number of histogram bounds: 100 us * 2^(i/2), up to about 200 s. */
 #define BUCKET_COUNT 43
 /** Size of a metric name, label name or label value with its NUL, bytes. */
 #define TEXT_MAX 128
--- a/src/adapters/settings.c
+++ b/src/adapters/settings.c
@@ -315,7 +315,7 @@
     NUMBER("gateway", "queue_most", KEY_U32, gateway.slots.queue_most, 0, 1000,
 	6, "maximum online requests queued per server; more would be late"),
     NUMBER("gateway", "connect_ms", KEY_MS, gateway.connect_ms, 10, MINUTE, 250,
-	"connect time-out; servers are ms away, unreachable ones use it up"),
+	"servers are a few ms away; an unreachable one takes all of it"),
     NUMBER("gateway", "connect_tries", KEY_U32, gateway.connect_tries, 0, 64, 4,
 	"further servers tried until one accepts the connection"),
     NUMBER("gateway", "stall_ms", KEY_MS, gateway.stall_ms, 100, MINUTE, 1500,
@@ -405,7 +405,7 @@
     SEED("address", KEY_ADDRESS, jj_server_seed_t, address, true,
 	"where it is reached"),
     SEED("checks_fence", KEY_BOOL, jj_server_seed_t, checks_fence, false,
-	"refuses orders with an old fencing number; false is safe"),
+	"refuses orders with an old fencing number; false is the safe choice"),
 };
 
 static const table_array_t lists[] = {
--- a/tests/adapters/settings_test.cc
+++ b/tests/adapters/settings_test.cc
@@ -52,7 +52,7 @@
 	jj_settings_clear(&settings);
 }
 
-TEST(Settings, ReadWhatIsSaid)
+TEST(Settings, GivenValuesAreRead)
 {
 	jj_settings_t settings;
 	std::string error_text;
@@ -170,7 +170,7 @@
 INSTANTIATE_TEST_SUITE_P(Faults, SettingsFault, testing::ValuesIn(fault_cases),
     [](const auto &info) { return std::string(info.param.name); });
 
-TEST(Settings, MissingFileIsSaid)
+TEST(Settings, MissingFileIsReported)
 {
 	char error_text[JJ_SETTINGS_WHY_MAX];
 	jj_settings_t settings;
