--- a/tests/soak/batch_traffic.cc
+++ b/tests/soak/batch_traffic.cc
@@ -1,5 +1,5 @@
 /*
- * Callers with batch jobs, and the callers of prompts that crash engines.
+ * Traffic of batch callers, and of callers whose prompts crash engines.
  */
 #include "tests/soak/traffic.h"
 
@@ -10,12 +10,12 @@
 {
 
 constexpr int SUBMIT_TRIES = 8;
-constexpr long WATCH_MS = 15000;
+constexpr long JOB_POLL_MS = 15000;
 constexpr int POISON_TRIES = 6;
-constexpr long POISON_JOB_MS = 60000;
-/* A refusal is known in the whole domain within a second. */
+constexpr long POISON_JOB_POLL_MS = 60000;
+/* After a second all VMs of the domain know that the prompt is refused. */
 constexpr long POISON_GAP_MS = 1200;
-constexpr long CRASHES_MOST = 2;
+constexpr long CRASHES_MAX = 2;
 
 std::string
 write_item(const item_t &item)
@@ -49,107 +49,107 @@
 bool
 upload(caller_t &caller, const job_t &job, std::string &file)
 {
-	question_t question;
+	vm_request_t request;
 
-	question.operation = "upload";
-	question.method = "POST";
+	request.operation = "upload";
+	request.method = "POST";
 	for (const item_t &item : job.items)
-		question.body += write_item(item);
-	for (int i = 0; i < SUBMIT_TRIES && !caller.stage.stop; i++) {
+		request.body += write_item(item);
+	for (int i = 0; i < SUBMIT_TRIES && !caller.context.stop; i++) {
 		const harness::vm_t &vm = caller.pick_vm();
-		question.url = vm.callers + "/v1/files";
-		harness::reply_t reply = ask(caller, vm, question);
+		request.url = vm.callers + "/v1/files";
+		harness::reply_t reply = send_to_vm(caller, vm, request);
 		file = reply.text("id");
 		if (reply.status == 200)
 			return true;
-		caller.rest_after(reply);
+		caller.pause_after(reply);
 	}
 	return false;
 }
 
-question_t
-ask_job(const job_t &job, const std::string &file)
+vm_request_t
+make_submission(const job_t &job, const std::string &file)
 {
-	question_t question;
+	vm_request_t request;
 
-	question.operation = "submit";
-	question.key = job.key;
-	question.method = "POST";
-	question.body = "{\"input_file_id\":\"" + file +
+	request.operation = "submit";
+	request.key = job.key;
+	request.method = "POST";
+	request.body = "{\"input_file_id\":\"" + file +
 	    "\",\"endpoint\":\"/v1/completions\","
 	    "\"completion_window\":\"24h\"}";
 	if (!job.key.empty())
-		question.headers = {"Idempotency-Key: " + job.key};
-	question.keeps_answer = true;
-	return question;
+		request.headers = {"Idempotency-Key: " + job.key};
+	request.records_body = true;
+	return request;
 }
 
-/* Cancels the job at some VM, until one confirms it. */
+/* Sends the cancel to randomly picked VMs until one confirms it. */
 void
 cancel(caller_t &caller, job_t &job)
 {
-	question_t question;
+	vm_request_t request;
 
-	question.operation = "cancel";
-	question.key = job.id;
-	question.method = "POST";
-	question.keeps_answer = true;
-	for (int i = 0; i < SUBMIT_TRIES && !caller.stage.stop; i++) {
+	request.operation = "cancel";
+	request.key = job.id;
+	request.method = "POST";
+	request.records_body = true;
+	for (int i = 0; i < SUBMIT_TRIES && !caller.context.stop; i++) {
 		const harness::vm_t &vm = caller.pick_vm();
-		question.url = vm.callers + "/v1/batches/" + job.id + "/cancel";
-		harness::reply_t reply = ask(caller, vm, question);
+		request.url = vm.callers + "/v1/batches/" + job.id + "/cancel";
+		harness::reply_t reply = send_to_vm(caller, vm, request);
 		if (reply.status == 200) {
 			job.cancelled_ms = harness::now_ms();
 			return;
 		}
-		caller.rest_after(reply);
+		caller.pause_after(reply);
 	}
 }
 
 bool
-is_end(const std::string &status)
+is_final_status(const std::string &status)
 {
 	return status == "completed" || status == "cancelled" ||
 	    status == "failed";
 }
 
-/* Looks at the job from all sides, for a bounded time. */
+/* Polls the job at randomly picked VMs until it ends or the time is up. */
 void
-follow(caller_t &caller, job_t &job, long most_ms)
+poll_until_ended(caller_t &caller, job_t &job, long timeout_ms)
 {
-	long until_ms = harness::now_ms() + most_ms;
+	long until_ms = harness::now_ms() + timeout_ms;
 
-	while (harness::now_ms() < until_ms && !caller.stage.stop &&
+	while (harness::now_ms() < until_ms && !caller.context.stop &&
 	    job.ended.empty()) {
-		std::string status = ask_status(caller, job.id);
-		if (is_end(status))
+		std::string status = fetch_status(caller, job.id);
+		if (is_final_status(status))
 			job.ended = status;
-		caller.rest(100, 500);
+		caller.pause(100, 500);
 	}
 }
 
-/* One prompt that crashes, resent under other keys and at other VMs. */
+/* Resends a crashing prompt with a new key each time, to picked VMs. */
 void
 resend_poison(caller_t &caller, const std::string &prompt)
 {
-	question_t question;
+	vm_request_t request;
 
-	question.operation = "poison";
-	question.key = prompt;
-	question.method = "POST";
-	question.body = "{\"model\":\"narrador\",\"prompt\":\"" + prompt +
+	request.operation = "poison";
+	request.key = prompt;
+	request.method = "POST";
+	request.body = "{\"model\":\"narrador\",\"prompt\":\"" + prompt +
 	    "\",\"max_tokens\":4}";
-	for (int i = 0; i < POISON_TRIES && !caller.stage.stop; i++) {
+	for (int i = 0; i < POISON_TRIES && !caller.context.stop; i++) {
 		const harness::vm_t &vm = caller.pick_vm();
-		question.url = vm.callers + "/v1/completions";
-		question.headers = {"Idempotency-Key: " + caller.name + "-" +
+		request.url = vm.callers + "/v1/completions";
+		request.headers = {"Idempotency-Key: " + caller.name + "-" +
 		    std::to_string(caller.random())};
-		ask(caller, vm, question);
-		caller.rest(POISON_GAP_MS, POISON_GAP_MS);
+		send_to_vm(caller, vm, request);
+		caller.pause(POISON_GAP_MS, POISON_GAP_MS);
 	}
 }
 
-/* The same within a job, between items that shall complete. */
+/* Submits the crashing prompt in a job whose other items must complete. */
 void
 submit_poison(caller_t &caller, const std::string &prompt)
 {
@@ -164,8 +164,8 @@
 	job.items[10] = {item_kind_t::POISON, prompt, 4};
 	if (!submit_job(caller, job))
 		return;
-	follow(caller, job, POISON_JOB_MS);
-	caller.stage.keep(job);
+	poll_until_ended(caller, job, POISON_JOB_POLL_MS);
+	caller.context.add_job(job);
 }
 
 } // namespace
@@ -174,56 +174,56 @@
 submit_job(caller_t &caller, job_t &job)
 {
 	std::string file;
-	question_t question;
+	vm_request_t request;
 
 	if (!upload(caller, job, file))
 		return false;
-	question = ask_job(job, file);
-	for (int i = 0; i < SUBMIT_TRIES && !caller.stage.stop; i++) {
+	request = make_submission(job, file);
+	for (int i = 0; i < SUBMIT_TRIES && !caller.context.stop; i++) {
 		const harness::vm_t &vm = caller.pick_vm();
-		question.url = vm.callers + "/v1/batches";
-		harness::reply_t reply = ask(caller, vm, question);
+		request.url = vm.callers + "/v1/batches";
+		harness::reply_t reply = send_to_vm(caller, vm, request);
 		job.id = reply.text("id");
 		if (reply.status == 200 && reply.code == CURLE_OK) {
-			/* Its client has not heard, and asks once more. */
+			/* As if the client had lost the answer: submit again. */
 			if (!job.key.empty() && caller.chance(25)) {
 				const harness::vm_t &other = caller.pick_vm();
-				question.url = other.callers + "/v1/batches";
-				ask(caller, other, question);
+				request.url = other.callers + "/v1/batches";
+				send_to_vm(caller, other, request);
 			}
 			return true;
 		}
-		/* Without a key it could become two jobs. */
+		/* Without a key, a repeat could create a second job. */
 		if (job.key.empty() && reply.code != CURLE_COULDNT_CONNECT)
 			return false;
-		caller.rest_after(reply);
+		caller.pause_after(reply);
 	}
 	return false;
 }
 
 std::string
-ask_status(caller_t &caller, const std::string &id)
+fetch_status(caller_t &caller, const std::string &id)
 {
 	const harness::vm_t &vm = caller.pick_vm();
-	question_t question;
+	vm_request_t request;
 
-	question.operation = "status";
-	question.key = id;
-	question.method = "GET";
-	question.url = vm.callers + "/v1/batches/" + id;
-	question.keeps_answer = true;
-	harness::reply_t reply = ask(caller, vm, question);
+	request.operation = "status";
+	request.key = id;
+	request.method = "GET";
+	request.url = vm.callers + "/v1/batches/" + id;
+	request.records_body = true;
+	harness::reply_t reply = send_to_vm(caller, vm, request);
 	return reply.status == 200 ? reply.text("status") : "";
 }
 
 void
 submit_jobs(caller_t &caller)
 {
-	int most = caller.stage.options.shape->job_items;
+	int max_items = caller.context.options.shape->job_items;
 
-	for (int i = 0; !caller.stage.stop; i++) {
+	for (int i = 0; !caller.context.stop; i++) {
 		std::string name = caller.name + "-job-" + std::to_string(i);
-		long items = caller.draw(1, most);
+		long items = caller.draw(1, max_items);
 		job_t job;
 		for (long j = 0; j < items; j++)
 			job.items.push_back(draw_item(
@@ -233,35 +233,36 @@
 		if (!submit_job(caller, job))
 			continue;
 		if (caller.chance(20)) {
-			caller.rest(50, 1000);
+			caller.pause(50, 1000);
 			cancel(caller, job);
 		}
-		follow(caller, job, WATCH_MS);
-		caller.stage.keep(job);
-		caller.rest(200, 1000);
+		poll_until_ended(caller, job, JOB_POLL_MS);
+		caller.context.add_job(job);
+		caller.pause(200, 1000);
 	}
 }
 
 void
 send_poison(caller_t &caller)
 {
-	stage_t &stage = caller.stage;
+	run_context_t &context = caller.context;
 
-	for (int i = 0; !stage.stop; i++) {
+	for (int i = 0; !context.stop; i++) {
 		std::string prompt =
 		    "poison-" + std::to_string(i) + " <<crash>>";
 		std::map<std::string, long> before;
-		for (const auto &domain : stage.crashes)
+		for (const auto &domain : context.crashes)
 			before[domain.first] = domain.second;
 		if (i % 3 == 2)
 			submit_poison(caller, prompt);
 		else
 			resend_poison(caller, prompt);
-		caller.rest(2000, 3000);
-		for (const auto &domain : stage.crashes) {
+		caller.pause(2000, 3000);
+		for (const auto &domain : context.crashes) {
 			long crashes = domain.second - before[domain.first];
-			stage.verdicts.judge("poison: two crashes in a domain",
-			    crashes <= CRASHES_MOST,
+			context.verdicts.expect(
+			    "poison: two crashes in a domain",
+			    crashes <= CRASHES_MAX,
 			    prompt + " crashed " + std::to_string(crashes) +
 				" engines of " + domain.first);
 		}
--- a/tests/soak/checks.cc
+++ b/tests/soak/checks.cc
@@ -1,5 +1,5 @@
 /*
- * Judges calls, online requests and the configuration.
+ * Checks calls, online requests and the configuration.
  */
 #include <algorithm>
 #include <cinttypes>
@@ -18,20 +18,20 @@
 
 constexpr long VERSION_LIMIT_MS = 30000;
 constexpr long SERVE_LIMIT_MS = 15000;
-/* The history's and the service's clocks are read a little apart. */
+/* Caller and service read the clock at slightly different moments. */
 constexpr long CLOCK_SLACK_MS = 20;
 constexpr int HISTORY_PAGES = 100;
 
 using attempts_t = std::vector<attempt_t>;
 
-/* Whether another attempt under the key can have brought the run about. */
+/* Whether another attempt with the same key can have caused the run. */
 bool
 has_other_cause(
-    const attempts_t &attempts, const attempt_t &told, const run_t &run)
+    const attempts_t &attempts, const attempt_t &reported, const run_t &run)
 {
 	return std::any_of(
 	    attempts.begin(), attempts.end(), [&](const attempt_t &attempt) {
-		    return &attempt != &told &&
+		    return &attempt != &reported &&
 			attempt.code != CURLE_COULDNT_CONNECT &&
 			attempt.begin_ms <= run.at_ms + CLOCK_SLACK_MS &&
 			(attempt.is_open() ||
@@ -40,16 +40,17 @@
 }
 
 /*
- * A run before the question that was answered "not run" makes the answer
- * untrue in any case; a later one when no other attempt explains it.
+ * Whether an answer "not run" agrees with a recorded run of its key. It is
+ * wrong if the run precedes the request that got the answer, or if the run is
+ * later and no other attempt can have caused it.
  */
 bool
-is_true_not_run(
-    const attempts_t &attempts, const attempt_t &told, const run_t &run)
+is_not_run_correct(
+    const attempts_t &attempts, const attempt_t &reported, const run_t &run)
 {
-	if (run.at_ms + CLOCK_SLACK_MS < told.begin_ms)
+	if (run.at_ms + CLOCK_SLACK_MS < reported.begin_ms)
 		return false;
-	return has_other_cause(attempts, told, run);
+	return has_other_cause(attempts, reported, run);
 }
 
 std::string
@@ -69,35 +70,39 @@
 }
 
 void
-check_call(stage_t &stage, const std::string &key, const attempts_t &attempts,
-    const std::vector<run_t> &runs)
+check_call(run_context_t &context, const std::string &key,
+    const attempts_t &attempts, const std::vector<run_t> &runs)
 {
-	verdicts_t &verdicts = stage.verdicts;
+	verdicts_t &verdicts = context.verdicts;
 	std::string all = key + describe(attempts, runs);
 	std::string answer;
 
-	verdicts.judge("calls: a key runs at most once", runs.size() <= 1, all);
+	verdicts.expect(
+	    "calls: a key runs at most once", runs.size() <= 1, all);
 	for (const attempt_t &attempt : attempts) {
 		bool done = attempt.status == 200 && attempt.code == CURLE_OK;
 		if (done) {
 			answer = answer.empty() ? attempt.detail : answer;
-			verdicts.judge("calls: told done, it ran once",
+			verdicts.expect(
+			    "calls: answered done, it ran exactly once",
 			    runs.size() == 1, all);
-			verdicts.judge("calls: an answer is its own",
+			verdicts.expect("calls: an answer belongs to its key",
 			    attempt.detail.find("\"" + key + "\"") !=
 				std::string::npos,
 			    all + attempt.detail);
-			verdicts.judge("calls: one answer to one key",
+			verdicts.expect(
+			    "calls: all answers to a key are the same",
 			    attempt.detail == answer, all + attempt.detail);
 		}
 		for (const run_t &run : runs) {
 			if (attempt.run == "not_run")
-				verdicts.judge("calls: \"not run\" is true",
-				    is_true_not_run(attempts, attempt, run),
+				verdicts.expect("calls: \"not run\" is true",
+				    is_not_run_correct(attempts, attempt, run),
 				    all);
 		}
 		if (attempt.problem == "history_unknown")
-			verdicts.judge("calls: unknown history says so",
+			verdicts.expect(
+			    "calls: history_unknown reports run unknown",
 			    attempt.run == "unknown", all);
 	}
 	verdicts.count(!answer.empty() ? "call keys told done"
@@ -106,13 +111,13 @@
 		verdicts.count("call keys that ran, never told done");
 }
 
-/* As harness::wait_until(), but the verdict is the caller's. */
+/* As harness::wait_until(), but returns false instead of failing the test. */
 bool
-comes_true(const std::function<bool()> &holds, long limit_ms)
+becomes_true(const std::function<bool()> &condition, long limit_ms)
 {
 	long until_ms = harness::now_ms() + limit_ms;
 
-	while (!holds()) {
+	while (!condition()) {
 		if (harness::now_ms() >= until_ms)
 			return false;
 		std::this_thread::sleep_for(std::chrono::milliseconds(50));
@@ -139,11 +144,11 @@
 }
 
 std::map<std::string, int>
-count_records(const stage_t &stage)
+count_records(const run_context_t &context)
 {
 	std::map<std::string, int> counts;
 
-	for (const harness::standin_t &engine : stage.fleet.engines) {
+	for (const harness::standin_t &engine : context.fleet.engines) {
 		harness::json_view_t records(engine.ask("/records").body);
 		for (size_t i = 0; i < records.size(); i++)
 			counts[records.text(
@@ -162,7 +167,7 @@
 	return text;
 }
 
-/* The names of the patches that the history holds, by version. */
+/* The operators of the patches in the history (each patch has its own). */
 std::multimap<long, std::string>
 read_history(const harness::vm_t &vm)
 {
@@ -186,7 +191,7 @@
 }
 
 bool
-holds(const std::multimap<long, std::string> &all, long version,
+has_entry(const std::multimap<long, std::string> &all, long version,
     const std::string &name)
 {
 	auto range = all.equal_range(version);
@@ -195,9 +200,9 @@
 	    [&name](const auto &entry) { return entry.second == name; });
 }
 
-/* The version that an accepted patch became. */
+/* The version that the accepted patch created; -1: not accepted. */
 long
-accepted_as(const attempts_t &attempts)
+accepted_version(const attempts_t &attempts)
 {
 	for (const attempt_t &attempt : attempts) {
 		if (attempt.status == 200 && attempt.code == CURLE_OK)
@@ -207,7 +212,7 @@
 	return -1;
 }
 
-/* All attempts were answered, and each said that nothing was changed. */
+/* Whether every attempt was refused: no connection, 412 or 422. */
 bool
 was_rejected(const attempts_t &attempts)
 {
@@ -221,11 +226,11 @@
 } // namespace
 
 std::vector<run_t>
-read_runs(const stage_t &stage)
+read_runs(const run_context_t &context)
 {
 	std::vector<run_t> runs;
 
-	for (const harness::standin_t &service : stage.fleet.services) {
+	for (const harness::standin_t &service : context.fleet.services) {
 		harness::json_view_t list(service.ask("/runs").body);
 		for (size_t i = 0; i < list.size(); i++) {
 			std::string at = std::to_string(i);
@@ -248,80 +253,83 @@
 }
 
 void
-check_calls(stage_t &stage)
+check_calls(run_context_t &context)
 {
 	std::map<std::string, std::vector<run_t>> runs;
 
-	for (const run_t &run : read_runs(stage))
+	for (const run_t &run : read_runs(context))
 		runs[run.key].push_back(run);
-	for (const auto &group : stage.history.group("call"))
-		check_call(stage, group.first, group.second, runs[group.first]);
+	for (const auto &group : context.history.group("call"))
+		check_call(
+		    context, group.first, group.second, runs[group.first]);
 }
 
-/* An engine that was restarted has lost its records; others keep theirs. */
+/* A restarted engine has lost its records; the others still have theirs. */
 void
-check_online(stage_t &stage)
+check_online(run_context_t &context)
 {
-	std::map<std::string, int> records = count_records(stage);
+	std::map<std::string, int> records = count_records(context);
 
 	for (const char *operation : {"complete", "stream"}) {
-		for (const attempt_t &told : stage.history.find(operation)) {
-			if (told.run == "not_run")
-				stage.verdicts.judge(
+		for (const attempt_t &attempt :
+		    context.history.find(operation)) {
+			if (attempt.run == "not_run")
+				context.verdicts.expect(
 				    "online: \"not run\" is true",
-				    records.count(hash_prompt(told.key)) == 0,
-				    told.key + " " + told.detail);
-			if (!stage.options.brings("engine_kill"))
-				stage.verdicts.judge(
-				    "online: none is taken for poison",
-				    told.problem != "quarantined",
-				    told.key + " " + told.detail);
+				    records.count(hash_prompt(attempt.key)) ==
+					0,
+				    attempt.key + " " + attempt.detail);
+			if (!context.options.includes("engine_kill"))
+				context.verdicts.expect(
+				    "online: no healthy prompt is quarantined",
+				    attempt.problem != "quarantined",
+				    attempt.key + " " + attempt.detail);
 		}
 	}
-	for (const auto &vm : stage.fleet.vms)
-		stage.verdicts.judge("run: each VM serves again",
-		    comes_true([&vm] { return serves(*vm); }, SERVE_LIMIT_MS),
+	for (const auto &vm : context.fleet.vms)
+		context.verdicts.expect("run: each VM serves after the faults",
+		    becomes_true([&vm] { return serves(*vm); }, SERVE_LIMIT_MS),
 		    vm->name);
 }
 
 void
-check_config(stage_t &stage)
+check_config(run_context_t &context)
 {
-	const harness::vm_t &vm = *stage.fleet.vms[0];
+	const harness::vm_t &vm = *context.fleet.vms[0];
 	std::multimap<long, std::string> all = read_history(vm);
 	std::string document =
 	    harness::call("GET", vm.operators + "/v1/config").body;
 	std::map<long, std::string> versions;
 
-	stage.verdicts.judge("configuration: one version at all VMs",
-	    comes_true([&stage] { return have_one_version(stage.fleet); },
+	context.verdicts.expect("configuration: all VMs reach one version",
+	    becomes_true([&context] { return have_one_version(context.fleet); },
 		VERSION_LIMIT_MS),
-	    "see the history");
-	for (const auto &group : stage.history.group("patch")) {
+	    "see the history file (--history)");
+	for (const auto &group : context.history.group("patch")) {
 		const std::string &name = group.first;
 		bool in_force =
 		    document.find("\"" + name + "\"") != std::string::npos;
-		long version = accepted_as(group.second);
+		long version = accepted_version(group.second);
 		std::string what = name + describe(group.second, {});
 		if (version < 0) {
-			stage.verdicts.judge(
+			context.verdicts.expect(
 			    "configuration: a rejected patch changes nothing",
 			    !was_rejected(group.second) || !in_force, what);
 			continue;
 		}
-		stage.verdicts.judge(
+		context.verdicts.expect(
 		    "configuration: an accepted patch stays in force", in_force,
 		    what);
-		stage.verdicts.judge(
+		context.verdicts.expect(
 		    "configuration: an accepted patch is in the history",
-		    holds(all, version, name), what);
+		    has_entry(all, version, name), what);
 		const std::string &first = versions[version];
-		stage.verdicts.judge(
+		context.verdicts.expect(
 		    "configuration: one patch makes one version",
 		    first.empty() || first == name, what + " and " + first);
 		versions[version] = name;
 	}
-	stage.verdicts.count(
+	context.verdicts.count(
 	    "patches accepted", static_cast<long>(versions.size()));
 }
 
--- a/tests/soak/checks.h
+++ b/tests/soak/checks.h
@@ -1,5 +1,5 @@
 /*
- * What is judged once all faults are mended.
+ * Checks that run after all faults have ended.
  */
 #ifndef TESTS_SOAK_CHECKS_H
 #define TESTS_SOAK_CHECKS_H
@@ -9,26 +9,26 @@
 namespace soak
 {
 
-/* Waits for the end of all jobs and for one version of the configuration. */
-void wait_quiet(stage_t &stage);
-/* The records of services against what callers of calls were told. */
-void check_calls(stage_t &stage);
-/* The records of engines against what online callers were told. */
-void check_online(stage_t &stage);
-/* The results of jobs, and the platform's log of them. */
-void check_jobs(stage_t &stage);
-/* Patches against the configuration and its history. */
-void check_config(stage_t &stage);
+/* Waits until all jobs have ended, at most --quiet seconds. */
+void wait_for_jobs(run_context_t &context);
+/* Compares the runs recorded by services with the answers to calls. */
+void check_calls(run_context_t &context);
+/* Compares the records of engines with the answers to online requests. */
+void check_online(run_context_t &context);
+/* Checks the results of jobs and the platform's write log of them. */
+void check_jobs(run_context_t &context);
+/* Compares accepted patches with the configuration and its history. */
+void check_config(run_context_t &context);
 
-/* A run of the plain service. */
+/* A call that the plain service has run. */
 struct run_t {
 	std::string key;
 	std::string body_hash;
 	long at_ms;
 };
 
-std::vector<run_t> read_runs(const stage_t &stage);
-/* As the plain service writes it. */
+std::vector<run_t> read_runs(const run_context_t &context);
+/* The hash of a call's body in the form that the plain service records. */
 std::string hash_body(const std::string &body);
 
 } // namespace soak
--- a/tests/soak/history.cc
+++ b/tests/soak/history.cc
@@ -1,5 +1,5 @@
 /*
- * Keeps the history of a run, prints its counts and verdicts.
+ * Stores the history of a run; prints its counts and check results.
  */
 #include <algorithm>
 #include <cstdio>
@@ -33,7 +33,7 @@
 outcome_of(const attempt_t &attempt)
 {
 	if (attempt.status == 0 || attempt.code != CURLE_OK)
-		return std::string("no whole answer: ") +
+		return std::string("incomplete answer: ") +
 		    curl_easy_strerror(attempt.code);
 	return std::to_string(attempt.status) +
 	    (attempt.problem.empty() ? "" : " " + attempt.problem) +
@@ -144,11 +144,12 @@
 }
 
 void
-verdicts_t::judge(const std::string &check, bool holds, const std::string &what)
+verdicts_t::expect(
+    const std::string &check, bool holds, const std::string &what)
 {
 	std::lock_guard<std::mutex> guard(lock);
 
-	checks[check].looked_at++;
+	checks[check].evaluated++;
 	if (holds)
 		return;
 	checks[check].violations.push_back(what);
@@ -177,9 +178,9 @@
 	printf("\n");
 	for (const auto &check : checks) {
 		const std::vector<std::string> &bad = check.second.violations;
-		printf("%s: %s (%ld looked at, %zu violated)\n",
+		printf("%s: %s (%ld evaluated, %zu violated)\n",
 		    bad.empty() ? "passed" : "FAILED", check.first.c_str(),
-		    check.second.looked_at, bad.size());
+		    check.second.evaluated, bad.size());
 		for (size_t i = 0; i < bad.size() && i < VIOLATIONS_SHOWN; i++)
 			printf("    %s\n", bad[i].c_str());
 		(bad.empty() ? passed : failed)++;
--- a/tests/soak/history.h
+++ b/tests/soak/history.h
@@ -1,5 +1,6 @@
 /*
- * What callers asked and were told, what was broken, and what was judged.
+ * Records the requests and answers of callers, the injected faults, and the
+ * results of checks.
  */
 #ifndef TESTS_SOAK_HISTORY_H
 #define TESTS_SOAK_HISTORY_H
@@ -15,34 +16,34 @@
 namespace soak
 {
 
-/* One operation of a caller at one VM. */
+/* One request of a caller to one VM, and its answer. */
 struct attempt_t {
 	std::string caller;
 	std::string operation;
 	std::string vm;
 	std::string key; /* of the request, job or patch */
-	long begin_ms = 0; /* of the machine's monotonic clock */
+	long begin_ms = 0; /* on the monotonic clock */
 	long end_ms = 0;
 	CURLcode code = CURLE_OK;
 	long status = 0; /* 0: no answer */
-	std::string problem; /* its code, when it is one */
-	std::string run; /* what it says of the run */
-	std::string detail; /* the answer, where checks need it */
+	std::string problem; /* error code of the answer; empty: none */
+	std::string run; /* field "run" of an error: not_run, unknown */
+	std::string detail; /* body of the answer, where checks need it */
 
-	/* The caller may not have its answer, yet the request may be alive. */
+	/* The answer was not received whole, but the request may still run. */
 	bool is_open() const;
 };
 
 class history_t
 {
       public:
-	/* An empty path keeps it in memory only. */
+	/* With an empty path, nothing is written to a file. */
 	explicit history_t(const std::string &path);
 	void add(const attempt_t &attempt);
 	void add_fault(const std::string &kind, const std::string &target,
 	    const std::string &phase);
 	std::vector<attempt_t> find(const std::string &operation) const;
-	/* By key, each in order of the beginnings. */
+	/* Attempts by key, each list ordered by begin_ms. */
 	std::map<std::string, std::vector<attempt_t>>
 	group(const std::string &operation) const;
 	void print_counts() const;
@@ -54,20 +55,20 @@
 	std::map<std::string, long> faults;
 };
 
-/* The checks of a run, each by its name. */
+/* Results of the checks and counters of a run, by name. */
 class verdicts_t
 {
       public:
 	void
-	judge(const std::string &check, bool holds, const std::string &what);
-	/* A figure that is no verdict. */
+	expect(const std::string &check, bool holds, const std::string &what);
+	/* Adds to a counter that is printed but not checked. */
 	void count(const std::string &name, long number = 1);
-	/* Prints all; true when none failed. */
+	/* Prints all; returns true if no check failed. */
 	bool print() const;
 
       private:
 	struct check_t {
-		long looked_at = 0;
+		long evaluated = 0;
 		std::vector<std::string> violations;
 	};
 	mutable std::mutex lock;
--- a/tests/soak/injector.cc
+++ b/tests/soak/injector.cc
@@ -1,5 +1,6 @@
 /*
- * Brings faults about. One thread does it all: processes have one owner.
+ * Injects faults. One thread does all of it, so that each process has a single
+ * owner.
  */
 #include <algorithm>
 #include <thread>
@@ -15,9 +16,10 @@
 constexpr long STEP_MS = 20;
 constexpr long STOP_LIMIT_MS = 45000;
 constexpr long ENGINE_RESTART_MS = 500;
-constexpr long TELL_TIMEOUT_MS = 300;
-constexpr long TELL_LIMIT_MS = 30000;
-constexpr size_t LOG_LINE = 50; /* bytes: less than a line of a start */
+constexpr long CUTS_TIMEOUT_MS = 300;
+constexpr long CUTS_LIMIT_MS = 30000;
+/* Bytes; less than the line that a start logs. */
+constexpr size_t LOG_LINE = 50;
 
 bool
 is_vm_fault(fault_kind_t kind)
@@ -26,17 +28,17 @@
 	    kind == fault_kind_t::FREEZE;
 }
 
-/* An engine that leaves for good, and a new one at its address later. */
+/* The engine is terminated; a new one starts at its address later. */
 bool
-is_departure(const fault_t &fault)
+is_replacement(const fault_t &fault)
 {
 	return fault.kind == fault_kind_t::LEAVING && fault.variant % 4 == 1;
 }
 
 } // namespace
 
-injector_t::injector_t(stage_t &on)
-    : stage(on), fleet(on.fleet), plan(plan_faults(on.options))
+injector_t::injector_t(run_context_t &on)
+    : context(on), fleet(on.fleet), plan(plan_faults(on.options))
 {
 }
 
@@ -44,7 +46,7 @@
 injector_t::run()
 {
 	began_ms = harness::now_ms();
-	while (harness::now_ms() < began_ms + stage.options.seconds * 1000) {
+	while (harness::now_ms() < began_ms + context.options.seconds * 1000) {
 		step();
 		std::this_thread::sleep_for(std::chrono::milliseconds(STEP_MS));
 	}
@@ -52,9 +54,9 @@
 }
 
 void
-injector_t::look_after(const std::atomic<bool> &over)
+injector_t::restart_crashed(const std::atomic<bool> &checks_done)
 {
-	while (!over || !restarts.empty()) {
+	while (!checks_done || !restarts.empty()) {
 		watch_engines(harness::now_ms());
 		std::this_thread::sleep_for(std::chrono::milliseconds(STEP_MS));
 	}
@@ -69,7 +71,7 @@
 	end_due(now_ms);
 	watch_stops(now_ms);
 	watch_engines(now_ms);
-	tell_cuts();
+	send_cuts();
 }
 
 void
@@ -78,12 +80,12 @@
 	while (next < plan.size() && plan[next].at_ms <= now_ms - began_ms) {
 		const fault_t &fault = plan[next++];
 		std::string target = target_of(fault);
-		if (!busy.insert(target).second) {
-			stage.history.add_fault(
+		if (!faulty_targets.insert(target).second) {
+			context.history.add_fault(
 			    fault_name(fault.kind), target, "skipped");
 			continue;
 		}
-		stage.history.add_fault(
+		context.history.add_fault(
 		    fault_name(fault.kind), target, "begin");
 		begin(fault);
 		open.push_back({now_ms + fault.lasts_ms, fault, target});
@@ -94,7 +96,7 @@
 injector_t::end_due(long now_ms)
 {
 	for (size_t i = 0; i < open.size();) {
-		open_t fault = open[i];
+		open_fault_t fault = open[i];
 		if (fault.end_ms > now_ms) {
 			i++;
 			continue;
@@ -107,22 +109,22 @@
 void
 injector_t::end_all()
 {
-	long limit_ms = harness::now_ms() + STOP_LIMIT_MS + TELL_LIMIT_MS;
+	long limit_ms = harness::now_ms() + STOP_LIMIT_MS + CUTS_LIMIT_MS;
 
 	end_due(harness::now_ms() + STOP_LIMIT_MS);
 	do {
 		watch_stops(harness::now_ms());
 		watch_engines(harness::now_ms());
-		tell_cuts();
+		send_cuts();
 		std::this_thread::sleep_for(std::chrono::milliseconds(STEP_MS));
 	} while (harness::now_ms() < limit_ms &&
 	    (!stopping.empty() || !restarts.empty() || !stale_cuts.empty()));
-	stage.verdicts.judge("run: all faults were mended",
+	context.verdicts.expect("run: all faults were ended",
 	    stopping.empty() && restarts.empty() && stale_cuts.empty(),
-	    "see the history");
+	    "see the history file (--history)");
 }
 
-/* Faults of one target exclude one another. */
+/* The name of a fault's target; a target has one fault at a time. */
 std::string
 injector_t::target_of(const fault_t &fault) const
 {
@@ -163,7 +165,7 @@
 		kill_vm(vm);
 		break;
 	case fault_kind_t::STOP:
-		stage.lives[vm]++;
+		context.transitions[vm]++;
 		fleet.vms[vm]->process->terminate();
 		break;
 	case fault_kind_t::FREEZE:
@@ -195,8 +197,8 @@
 			: "{\"vms_outage\":\"empty\"}");
 		break;
 	case fault_kind_t::LEAVING:
-		if (is_departure(fault))
-			begin_departure(fault);
+		if (is_replacement(fault))
+			begin_replacement(fault);
 		else
 			begin_leaving(fault, true);
 		break;
@@ -215,15 +217,15 @@
 }
 
 void
-injector_t::end(const open_t &ended)
+injector_t::end(const open_fault_t &ended)
 {
 	const fault_t &fault = ended.fault;
 	size_t engine = fault.target % fleet.engines.size();
 
-	stage.history.add_fault(fault_name(fault.kind), ended.target, "end");
-	/* A planned stop lasts until the process has ended. */
+	context.history.add_fault(fault_name(fault.kind), ended.target, "end");
+	/* A planned stop stays in effect until the process has exited. */
 	if (fault.kind != fault_kind_t::STOP)
-		busy.erase(ended.target);
+		faulty_targets.erase(ended.target);
 	if (is_vm_fault(fault.kind))
 		end_vm(fault);
 	else if (fault.kind == fault_kind_t::CUT)
@@ -236,13 +238,13 @@
 		fleet.platform.fault("{\"delay_ms\":0}");
 	else if (fault.kind == fault_kind_t::LIST)
 		fleet.platform.fault("{\"vms_outage\":\"none\"}");
-	else if (fault.kind == fault_kind_t::LEAVING && !is_departure(fault))
+	else if (fault.kind == fault_kind_t::LEAVING && !is_replacement(fault))
 		begin_leaving(fault, false);
 	else if (fault.kind == fault_kind_t::SERVICE)
 		fleet.services[fault.target % fleet.services.size()].fault(
 		    "{\"refuse\":false,\"delay_ms\":0,\"run_then_503\":0,"
 		    "\"run_then_break\":0,\"run_then_hang\":0}");
-	if (fault.kind == fault_kind_t::ENGINE_KILL || is_departure(fault)) {
+	if (fault.kind == fault_kind_t::ENGINE_KILL || is_replacement(fault)) {
 		fleet.engines[engine].process->kill();
 		fleet.engines[engine].process->start();
 		killed_engines.erase(engine);
@@ -284,13 +286,14 @@
 	    ? fleet.services[fault.target % fleet.services.size()]
 	    : fleet.engines[fault.target % fleet.engines.size()];
 
-	/* One that has crashed meanwhile does not answer, or is back anew. */
+	/* Not checked: a server that crashed meanwhile does not answer, or has
+	 * restarted without the fault. */
 	harness::call("POST", server.control + "/fault",
 	    leaving ? "{\"leaving\":true}" : "{\"leaving\":false}");
 }
 
 void
-injector_t::begin_departure(const fault_t &fault)
+injector_t::begin_replacement(const fault_t &fault)
 {
 	size_t engine = fault.target % fleet.engines.size();
 
@@ -314,7 +317,7 @@
 	    faults[fault.variant % (sizeof(faults) / sizeof(faults[0]))]);
 }
 
-/* One VM, or its whole domain. */
+/* Cuts one VM, or with an even variant its whole domain, off the platform. */
 void
 injector_t::cut_platform(const fault_t &fault, bool cut)
 {
@@ -322,11 +325,11 @@
 	std::vector<const harness::vm_t *> all;
 
 	for (const auto &other : fleet.vms) {
-		bool meant = other->name == vm.name ||
+		bool selected = other->name == vm.name ||
 		    (fault.variant % 2 == 0 && other->domain == vm.domain);
-		if (meant && cut)
+		if (selected && cut)
 			cut_clients.insert(other->name);
-		else if (meant)
+		else if (selected)
 			cut_clients.erase(other->name);
 		if (cut_clients.count(other->name) > 0)
 			all.push_back(other.get());
@@ -357,15 +360,15 @@
 		harness::vm_t &vm = *fleet.vms[stop.first];
 		if (vm.process->is_alive() && now_ms < stop.second)
 			continue;
-		stage.verdicts.judge("stop: a planned stop ends",
+		context.verdicts.expect("stop: a planned stop ends in time",
 		    !vm.process->is_alive(), vm.name);
 		vm.process->kill();
 		stopping.erase(stop.first);
-		busy.erase(vm.name);
+		faulty_targets.erase(vm.name);
 		vm.process->start();
-		stage.lives[stop.first]++;
+		context.transitions[stop.first]++;
 		stale_cuts.insert(stop.first);
-		stage.history.add_fault("stop", vm.name, "replaced");
+		context.history.add_fault("stop", vm.name, "replaced");
 	}
 }
 
@@ -380,47 +383,47 @@
 		}
 		if (restarts.count(i) == 0) {
 			restarts[i] = now_ms + ENGINE_RESTART_MS;
-			note_death(engine);
+			record_crash(engine);
 		} else if (now_ms >= restarts[i]) {
 			restarts.erase(i);
 			engine.process->start();
-			stage.history.add_fault("crash", engine.name, "end");
+			context.history.add_fault("crash", engine.name, "end");
 		}
 	}
 }
 
-/* One whose port another program holds just now has not crashed. */
+/* An engine whose port is in use by another program has not crashed. */
 void
-injector_t::note_death(const harness::standin_t &engine)
+injector_t::record_crash(const harness::standin_t &engine)
 {
 	std::string end = engine.process->log_tail(LOG_LINE);
 
 	if (end.find("listen_failed") != std::string::npos) {
-		stage.verdicts.count("engines that found their port taken");
+		context.verdicts.count("engines that found their port taken");
 		return;
 	}
-	stage.crashes[engine.domain]++;
-	stage.history.add_fault("crash", engine.name, "begin");
+	context.crashes[engine.domain]++;
+	context.history.add_fault("crash", engine.name, "begin");
 }
 
 void
-injector_t::tell_cuts()
+injector_t::send_cuts()
 {
 	std::set<size_t> waiting = stale_cuts;
 
 	for (size_t vm : waiting) {
-		bool frozen = std::any_of(
-		    open.begin(), open.end(), [&](const open_t &fault) {
+		bool faulty = std::any_of(
+		    open.begin(), open.end(), [&](const open_fault_t &fault) {
 			    return is_vm_fault(fault.fault.kind) &&
 				fault.target == fleet.vms[vm]->name;
 		    });
-		if (!frozen && tell_cuts_to(vm))
+		if (!faulty && send_cuts_to(vm))
 			stale_cuts.erase(vm);
 	}
 }
 
 bool
-injector_t::tell_cuts_to(size_t number)
+injector_t::send_cuts_to(size_t number)
 {
 	const harness::vm_t &vm = *fleet.vms[number];
 	std::string text;
@@ -433,23 +436,23 @@
 		    (cut ? "\":true" : "\":false");
 	}
 	return harness::call("POST", vm.operators + "/v1/faults", text + "}",
-		   {}, TELL_TIMEOUT_MS)
+		   {}, CUTS_TIMEOUT_MS)
 		   .status == 200;
 }
 
 void
 injector_t::kill_vm(size_t number)
 {
-	stage.lives[number]++;
+	context.transitions[number]++;
 	fleet.vms[number]->process->kill();
 }
 
-/* It comes back with no memory, so of the cuts it has to be told anew. */
+/* The new process has no state, so it must be sent the cuts again. */
 void
 injector_t::start_vm(size_t number)
 {
 	fleet.vms[number]->process->start();
-	stage.lives[number]++;
+	context.transitions[number]++;
 	stale_cuts.insert(number);
 }
 
--- a/tests/soak/injector.h
+++ b/tests/soak/injector.h
@@ -1,5 +1,5 @@
 /*
- * Brings the planned faults about and mends them in time.
+ * Injects the planned faults and ends each one at its time.
  */
 #ifndef TESTS_SOAK_INJECTOR_H
 #define TESTS_SOAK_INJECTOR_H
@@ -18,32 +18,37 @@
 class injector_t
 {
       public:
-	explicit injector_t(stage_t &stage);
-	/* Until the planned end; all faults are mended then. */
+	explicit injector_t(run_context_t &context);
+	/* Runs until the planned end, then ends all faults. */
 	void run();
-	/* Restarts engines that the last poison crashes, until told to end. */
-	void look_after(const std::atomic<bool> &over);
+	/* Restarts engines that the last poison prompts crash, until
+	 * checks_done is set. */
+	void restart_crashed(const std::atomic<bool> &checks_done);
 
       private:
-	/* A fault that was begun and waits for its end. */
-	struct open_t {
+	/* A fault that is in effect. */
+	struct open_fault_t {
 		long end_ms;
 		fault_t fault;
 		std::string target;
 	};
-	stage_t &stage;
+	run_context_t &context;
 	harness::fleet_t &fleet;
 	std::vector<fault_t> plan;
 	size_t next = 0;
 	long began_ms = 0;
-	std::vector<open_t> open;
-	std::set<std::string> busy; /* targets that a fault is at */
-	std::map<size_t, long> stopping; /* VMs told to stop: killed at */
-	std::map<size_t, long> restarts; /* engines that crashed: at */
+	std::vector<open_fault_t> open;
+	/* Targets with a fault in effect. */
+	std::set<std::string> faulty_targets;
+	/* VMs asked to stop, with the time at which they are killed. */
+	std::map<size_t, long> stopping;
+	/* Crashed engines, with the time of their restart. */
+	std::map<size_t, long> restarts;
 	std::set<size_t> killed_engines;
 	std::set<std::string> cut_domains;
-	std::set<std::string> cut_clients; /* of the platform */
-	std::set<size_t> stale_cuts; /* VMs that are to be told the cuts */
+	std::set<std::string> cut_clients; /* VMs cut off from the platform */
+	/* VMs that have not received the current cuts. */
+	std::set<size_t> stale_cuts;
 
 	void step();
 	void begin_due(long now_ms);
@@ -51,20 +56,20 @@
 	void end_all();
 	std::string target_of(const fault_t &) const;
 	void begin(const fault_t &);
-	void end(const open_t &);
+	void end(const open_fault_t &);
 	void end_vm(const fault_t &);
 	void begin_outage(const fault_t &);
 	void begin_watch_loss(const fault_t &);
 	void begin_leaving(const fault_t &, bool leaving);
-	void begin_departure(const fault_t &);
+	void begin_replacement(const fault_t &);
 	void begin_service_fault(const fault_t &);
 	void cut_platform(const fault_t &, bool cut);
 	void cut_domain(const fault_t &, bool cut);
 	void watch_stops(long now_ms);
 	void watch_engines(long now_ms);
-	void note_death(const harness::standin_t &);
-	void tell_cuts();
-	bool tell_cuts_to(size_t vm);
+	void record_crash(const harness::standin_t &);
+	void send_cuts();
+	bool send_cuts_to(size_t vm);
 	void kill_vm(size_t number);
 	void start_vm(size_t number);
 };
--- a/tests/soak/main.cc
+++ b/tests/soak/main.cc
@@ -1,7 +1,8 @@
 /*
- * The soak: small users' fleets under a seeded schedule of faults, then the
- * records of engines, services and the platform against what callers were
- * told. Ends with 1 when a check fails; its seed then becomes a test.
+ * Soak test: runs small fleets with the users' traffic under a seeded schedule
+ * of faults, then compares the records of engines, services and the platform
+ * with the answers that callers received. Exits with 1 if a check fails; the
+ * seed of that run is then added as a test.
  */
 #include <cstdio>
 
@@ -18,8 +19,8 @@
 namespace
 {
 
-/* Leases short enough for take-overs within the pauses and cuts of a run;
- * keys are remembered for longer than any caller here resends them. */
+/* Leases are short, so that take-overs happen within the pauses and cuts of a
+ * run. Keys are stored longer than any caller here resends them. */
 const char *const SETTINGS =
     "[batch]\nlease_ms = 1500\nmargin_ms = 300\ncheckpoint_ms = 500\n"
     "relist_ms = 2000\nitem_retry_ms = 50\nitem_attempts = 100\n"
@@ -49,30 +50,30 @@
 	harness::fleet_t fleet(describe_fleet(*options.shape));
 	history_t history(options.history);
 	verdicts_t verdicts;
-	stage_t stage(options, fleet, history, verdicts);
-	injector_t injector(stage);
-	std::vector<std::thread> traffic = start_traffic(stage);
+	run_context_t context(options, fleet, history, verdicts);
+	injector_t injector(context);
+	std::vector<std::thread> traffic = start_traffic(context);
 
 	injector.run();
-	stage.stop = true;
-	std::atomic<bool> over{false};
-	std::thread guard([&] { injector.look_after(over); });
+	context.stop = true;
+	std::atomic<bool> checks_done{false};
+	std::thread restarter([&] { injector.restart_crashed(checks_done); });
 	for (std::thread &thread : traffic)
 		thread.join();
-	wait_quiet(stage);
-	check_calls(stage);
-	check_online(stage);
-	check_jobs(stage);
-	check_config(stage);
-	over = true;
-	guard.join();
-	verdicts.judge("run: the processes could be steered",
+	wait_for_jobs(context);
+	check_calls(context);
+	check_online(context);
+	check_jobs(context);
+	check_config(context);
+	checks_done = true;
+	restarter.join();
+	verdicts.expect("run: no failure in the harness",
 	    !testing::Test::HasFailure(), "see standard error");
 	history.print_counts();
-	printf("\nagain: %s\n", options.command().c_str());
+	printf("\nto repeat: %s\n", options.command().c_str());
 	if (verdicts.print())
 		return true;
-	/* The logs of the processes are printed and kept then. */
+	/* On a failure, the harness prints and keeps the processes' logs. */
 	ADD_FAILURE() << options.command();
 	return false;
 }
--- a/tests/soak/options.cc
+++ b/tests/soak/options.cc
@@ -16,7 +16,8 @@
 namespace
 {
 
-/* Padana: mostly orders, online first. Coimbra: mostly nightly narratives. */
+/* Padana: mostly orders, where online traffic has priority. Coimbra: mostly
+ * nightly batch jobs of narratives. */
 const shape_t SHAPES[] = {
     {"padana", 1, 8, 10, 2, 40, ",\"trade\":0.2"},
     {"coimbra", 2, 6, 5, 4, 80, ",\"trade\":0.8"},
@@ -53,19 +54,19 @@
 } // namespace
 
 bool
-options_t::brings(const std::string &kind) const
+options_t::includes(const std::string &kind) const
 {
 	return only.empty() ||
 	    std::find(only.begin(), only.end(), kind) != only.end();
 }
 
 bool
-options_t::leaves_vms_alone() const
+options_t::excludes_vm_faults() const
 {
 	for (const char *kind :
 	    {"kill", "stop", "freeze", "cut", "platform_cut", "outage",
 		"slow_platform", "leaving", "service"}) {
-		if (brings(kind))
+		if (includes(kind))
 			return false;
 	}
 	return true;
@@ -91,18 +92,19 @@
 	gchar *shape = g_strdup("padana");
 	gchar *only = g_strdup("");
 	gchar *history = g_strdup("");
-	GOptionEntry entries[] = {{"seed", 0, 0, G_OPTION_ARG_INT64, &seed,
-				      "of all that is drawn", "N"},
+	GOptionEntry entries[] = {
+	    {"seed", 0, 0, G_OPTION_ARG_INT64, &seed,
+		"seed of the random numbers; default 1", "N"},
 	    {"seconds", 0, 0, G_OPTION_ARG_INT, &seconds,
-		"of traffic; default 120", "N"},
+		"duration of the traffic in s; default 120", "N"},
 	    {"quiet", 0, 0, G_OPTION_ARG_INT, &quiet,
-		"seconds that jobs may take after it; default 120", "N"},
+		"s that jobs may take after the traffic; default 120", "N"},
 	    {"shape", 0, 0, G_OPTION_ARG_STRING, &shape,
 		"padana (default) or coimbra", "NAME"},
 	    {"only", 0, 0, G_OPTION_ARG_STRING, &only,
-		"these kinds of faults, with commas between", "KINDS"},
+		"only these kinds of faults, separated by commas", "KINDS"},
 	    {"history", 0, 0, G_OPTION_ARG_FILENAME, &history,
-		"each operation and fault, one JSON line each", "FILE"},
+		"write each operation and fault as a JSON line", "FILE"},
 	    {nullptr, 0, 0, G_OPTION_ARG_NONE, nullptr, nullptr, nullptr}};
 	GOptionContext *context = g_option_context_new(nullptr);
 	GError *error = nullptr;
--- a/tests/soak/schedule.cc
+++ b/tests/soak/schedule.cc
@@ -1,5 +1,5 @@
 /*
- * Draws the faults of a run.
+ * Generates the faults of a run.
  */
 #include <random>
 
@@ -11,15 +11,15 @@
 namespace
 {
 
-struct row_t {
+struct fault_spec_t {
 	fault_kind_t kind;
 	const char *name;
 	int weight;
-	long least_ms;
-	long most_ms;
+	long min_ms;
+	long max_ms;
 };
 
-const row_t ROWS[] = {
+const fault_spec_t FAULT_SPECS[] = {
     {fault_kind_t::KILL, "kill", 5, 200, 3000},
     {fault_kind_t::STOP, "stop", 2, 100, 1000},
     {fault_kind_t::FREEZE, "freeze", 5, 1000, 8000},
@@ -37,38 +37,39 @@
     {fault_kind_t::POISON, "poison", 0, 0, 0},
 };
 
-/* The first faults meet a fleet at work, the last ones have their time. */
-constexpr long QUIET_BEGIN_MS = 2000;
-constexpr long QUIET_END_MS = 2000;
-constexpr long GAP_LEAST_MS = 400;
-constexpr long GAP_MOST_MS = 2400;
+/* Faults begin when traffic already runs; the last ones have time to act. */
+constexpr long NO_FAULTS_BEGIN_MS = 2000;
+constexpr long NO_FAULTS_END_MS = 2000;
+constexpr long GAP_MIN_MS = 400;
+constexpr long GAP_MAX_MS = 2400;
 
-/* std::uniform_int_distribution differs between libraries; this does not. */
+/* std::uniform_int_distribution differs between libraries, so that a seed
+ * would give other faults elsewhere; this function does not. */
 long
-draw(std::mt19937_64 &random, long least, long most)
+draw(std::mt19937_64 &random, long min, long max)
 {
-	return least +
+	return min +
 	    static_cast<long>(
-		random() % static_cast<unsigned long>(most - least + 1));
+		random() % static_cast<unsigned long>(max - min + 1));
 }
 
 int
-weigh(const options_t &options, const row_t &row)
+weight_of(const options_t &options, const fault_spec_t &row)
 {
-	return options.brings(row.name) ? row.weight : 0;
+	return options.includes(row.name) ? row.weight : 0;
 }
 
-const row_t &
-draw_row(const options_t &options, std::mt19937_64 &random, int total)
+const fault_spec_t &
+draw_fault_spec(const options_t &options, std::mt19937_64 &random, int total)
 {
 	long at = draw(random, 0, total - 1);
 
-	for (const row_t &row : ROWS) {
-		at -= weigh(options, row);
+	for (const fault_spec_t &row : FAULT_SPECS) {
+		at -= weight_of(options, row);
 		if (at < 0)
 			return row;
 	}
-	return ROWS[0];
+	return FAULT_SPECS[0];
 }
 
 } // namespace
@@ -76,7 +77,7 @@
 const char *
 fault_name(fault_kind_t kind)
 {
-	for (const row_t &row : ROWS) {
+	for (const fault_spec_t &row : FAULT_SPECS) {
 		if (row.kind == kind)
 			return row.name;
 	}
@@ -86,7 +87,7 @@
 bool
 is_fault_kind(const std::string &name)
 {
-	for (const row_t &row : ROWS) {
+	for (const fault_spec_t &row : FAULT_SPECS) {
 		if (name == row.name)
 			return true;
 	}
@@ -98,7 +99,7 @@
 {
 	std::string names;
 
-	for (const row_t &row : ROWS)
+	for (const fault_spec_t &row : FAULT_SPECS)
 		names += (names.empty() ? "" : ", ") + std::string(row.name);
 	return names;
 }
@@ -108,18 +109,19 @@
 {
 	std::mt19937_64 random(options.seed);
 	std::vector<fault_t> faults;
-	long end_ms = options.seconds * 1000 - QUIET_END_MS;
-	long at_ms = QUIET_BEGIN_MS;
+	long end_ms = options.seconds * 1000 - NO_FAULTS_END_MS;
+	long at_ms = NO_FAULTS_BEGIN_MS;
 	int total = 0;
 
-	for (const row_t &row : ROWS)
-		total += weigh(options, row);
+	for (const fault_spec_t &row : FAULT_SPECS)
+		total += weight_of(options, row);
 	while (total > 0 && at_ms < end_ms) {
-		const row_t &row = draw_row(options, random, total);
-		long lasts_ms = draw(random, row.least_ms, row.most_ms);
+		const fault_spec_t &row =
+		    draw_fault_spec(options, random, total);
+		long lasts_ms = draw(random, row.min_ms, row.max_ms);
 		faults.push_back(
 		    {at_ms, lasts_ms, row.kind, random(), random()});
-		at_ms += draw(random, GAP_LEAST_MS, GAP_MOST_MS);
+		at_ms += draw(random, GAP_MIN_MS, GAP_MAX_MS);
 	}
 	return faults;
 }
--- a/tests/soak/schedule.h
+++ b/tests/soak/schedule.h
@@ -1,5 +1,5 @@
 /*
- * The faults of a run, drawn from its seed before it begins.
+ * The faults of a run, generated from its seed before it begins.
  */
 #ifndef TESTS_SOAK_SCHEDULE_H
 #define TESTS_SOAK_SCHEDULE_H
@@ -13,34 +13,34 @@
 {
 
 enum class fault_kind_t {
-	KILL, /* of a VM, then a new one with the same address */
-	STOP, /* planned, likewise */
-	FREEZE, /* of a VM */
-	CUT, /* of a domain from the others */
-	PLATFORM_CUT, /* of a domain or one VM from the platform */
-	OUTAGE, /* of the platform: it refuses or hangs */
-	LOSE_ANSWERS, /* of the platform's writes */
+	KILL, /* of a VM; a new one starts at its address */
+	STOP, /* planned stop of a VM; a new one starts likewise */
+	FREEZE, /* a VM is paused */
+	CUT, /* a domain is cut off from the others */
+	PLATFORM_CUT, /* a domain or VM is cut off from the platform */
+	OUTAGE, /* the platform refuses requests or hangs */
+	LOSE_ANSWERS, /* to writes that the platform has executed */
 	SLOW_PLATFORM,
-	WATCH, /* events or the whole history are lost */
-	LIST, /* the list of VMs is down or empty */
-	LEAVING, /* an engine or a service leaves and comes back */
-	ENGINE_KILL, /* and a new one with the same address */
+	WATCH, /* a watch loses events or the whole history */
+	LIST, /* the list of VMs is unavailable or empty */
+	LEAVING, /* an engine or a service leaves and rejoins */
+	ENGINE_KILL, /* a new engine starts at the same address */
 	SERVICE, /* calls run, but their answers fail */
 	NONE, /* for a run without faults */
-	POISON, /* prompts that crash engines: see poison.cc */
+	POISON, /* prompts that crash engines: see batch_traffic.cc */
 };
 
 struct fault_t {
 	long at_ms; /* since the run began */
 	long lasts_ms;
 	fault_kind_t kind;
-	size_t target; /* any number: taken modulo the targets there are */
-	size_t variant; /* likewise */
+	size_t target; /* any number: modulo the number of targets */
+	size_t variant; /* any number: modulo the number of variants */
 };
 
 const char *fault_name(fault_kind_t kind);
 bool is_fault_kind(const std::string &name);
-std::string fault_kinds(); /* all names, for a message */
+std::string fault_kinds(); /* all names, separated by commas */
 std::vector<fault_t> plan_faults(const options_t &options);
 
 } // namespace soak
--- a/tests/soak/stage.cc
+++ b/tests/soak/stage.cc
@@ -1,5 +1,5 @@
 /*
- * How the threads of a run ask VMs.
+ * Shared state of a run, and how its threads send requests to VMs.
  */
 #include <algorithm>
 #include <thread>
@@ -14,9 +14,9 @@
 namespace
 {
 
-constexpr long REST_STEP_MS = 50;
-constexpr long REST_AFTER_LEAST_MS = 100;
-constexpr long REST_AFTER_MOST_MS = 1500;
+constexpr long PAUSE_STEP_MS = 50;
+constexpr long PAUSE_AFTER_MIN_MS = 100;
+constexpr long PAUSE_AFTER_MAX_MS = 1500;
 
 unsigned long
 mix(unsigned long seed, const std::string &name)
@@ -26,35 +26,35 @@
 
 } // namespace
 
-stage_t::stage_t(const options_t &wanted, harness::fleet_t &built,
+run_context_t::run_context_t(const options_t &wanted, harness::fleet_t &built,
     history_t &kept, verdicts_t &judged)
     : options(wanted), fleet(built), history(kept), verdicts(judged),
-      lives(built.vms.size())
+      transitions(built.vms.size())
 {
 	for (const harness::standin_t &engine : fleet.engines)
 		crashes[engine.domain] = 0;
 }
 
 void
-stage_t::keep(const job_t &job)
+run_context_t::add_job(const job_t &job)
 {
 	std::lock_guard<std::mutex> guard(lock);
 
 	jobs.push_back(job);
 }
 
-caller_t::caller_t(stage_t &of, const std::string &role, int number)
-    : stage(of), name(role + "-" + std::to_string(number)),
+caller_t::caller_t(run_context_t &of, const std::string &role, int number)
+    : context(of), name(role + "-" + std::to_string(number)),
       random(mix(of.options.seed, name))
 {
 }
 
 long
-caller_t::draw(long least, long most)
+caller_t::draw(long min, long max)
 {
-	return least +
+	return min +
 	    static_cast<long>(
-		random() % static_cast<unsigned long>(most - least + 1));
+		random() % static_cast<unsigned long>(max - min + 1));
 }
 
 bool
@@ -66,44 +66,45 @@
 const harness::vm_t &
 caller_t::pick_vm()
 {
-	return *stage.fleet.vms[random() % stage.fleet.vms.size()];
+	return *context.fleet.vms[random() % context.fleet.vms.size()];
 }
 
 void
-caller_t::rest(long least_ms, long most_ms)
+caller_t::pause(long min_ms, long max_ms)
 {
-	long left_ms = draw(least_ms, most_ms);
+	long left_ms = draw(min_ms, max_ms);
 
-	while (left_ms > 0 && !stage.stop) {
-		std::this_thread::sleep_for(
-		    std::chrono::milliseconds(std::min(left_ms, REST_STEP_MS)));
-		left_ms -= REST_STEP_MS;
+	while (left_ms > 0 && !context.stop) {
+		std::this_thread::sleep_for(std::chrono::milliseconds(
+		    std::min(left_ms, PAUSE_STEP_MS)));
+		left_ms -= PAUSE_STEP_MS;
 	}
 }
 
 void
-caller_t::rest_after(const harness::reply_t &reply)
+caller_t::pause_after(const harness::reply_t &reply)
 {
-	long told_ms = reply.number("retry_after_ms");
+	long retry_after_ms = reply.number("retry_after_ms");
 	long wait_ms =
-	    std::clamp(told_ms, REST_AFTER_LEAST_MS, REST_AFTER_MOST_MS);
+	    std::clamp(retry_after_ms, PAUSE_AFTER_MIN_MS, PAUSE_AFTER_MAX_MS);
 
-	rest(wait_ms, wait_ms + REST_AFTER_LEAST_MS);
+	pause(wait_ms, wait_ms + PAUSE_AFTER_MIN_MS);
 }
 
 harness::reply_t
-ask(const caller_t &caller, const harness::vm_t &vm, const question_t &question)
+send_to_vm(const caller_t &caller, const harness::vm_t &vm,
+    const vm_request_t &request)
 {
 	attempt_t attempt;
 	harness::reply_t reply;
 
 	attempt.caller = caller.name;
-	attempt.operation = question.operation;
+	attempt.operation = request.operation;
 	attempt.vm = vm.name;
-	attempt.key = question.key;
+	attempt.key = request.key;
 	attempt.begin_ms = harness::now_ms();
-	reply = harness::call(question.method, question.url, question.body,
-	    question.headers, question.timeout_ms);
+	reply = harness::call(request.method, request.url, request.body,
+	    request.headers, request.timeout_ms);
 	attempt.end_ms = harness::now_ms();
 	attempt.code = reply.code;
 	attempt.status = reply.status;
@@ -111,9 +112,9 @@
 		attempt.problem = reply.text("code");
 		attempt.run = reply.text("run");
 	}
-	if (question.keeps_answer || reply.status >= 400)
+	if (request.records_body || reply.status >= 400)
 		attempt.detail = reply.body;
-	caller.stage.history.add(attempt);
+	caller.context.history.add(attempt);
 	return reply;
 }
 
--- a/tests/soak/traffic.cc
+++ b/tests/soak/traffic.cc
@@ -12,14 +12,14 @@
 {
 
 constexpr long ONLINE_TIMEOUT_MS = 10000;
-constexpr long VANISH_MS = 120;
-constexpr int VANISH_PERCENT = 4;
+constexpr long DISCONNECT_MS = 120;
+constexpr int DISCONNECT_PERCENT = 4;
 constexpr long CALL_TIMEOUT_MS = 4000;
 constexpr int CALL_TRIES = 8;
 constexpr long STATUS_TIMEOUT_MS = 1000;
 constexpr int PATCH_TRIES = 5;
 
-/* The text of a streamed answer; whole tells whether its end was sent. */
+/* The text of a streamed answer; sets whole if it contains the end. */
 std::string
 read_stream(const std::string &body, bool &whole)
 {
@@ -41,7 +41,7 @@
 }
 
 void
-judge_online(stage_t &stage, const harness::reply_t &reply,
+check_online_answer(run_context_t &context, const harness::reply_t &reply,
     const std::string &prompt, int tokens, bool streamed)
 {
 	std::string expected = harness::text_of(prompt, tokens);
@@ -53,92 +53,94 @@
 	text = streamed ? read_stream(reply.body, whole)
 			: reply.text("choices.0.text");
 	if (whole)
-		stage.verdicts.judge("online: a whole answer is its own",
+		context.verdicts.expect(
+		    "online: a whole answer belongs to its prompt",
 		    text == expected, prompt + ": " + reply.body);
 	else if (streamed)
-		stage.verdicts.judge("online: a part of an answer is its own",
+		context.verdicts.expect(
+		    "online: a partial answer belongs to its prompt",
 		    expected.compare(0, text.size(), text) == 0,
 		    prompt + ": " + reply.body);
-	stage.verdicts.count(
+	context.verdicts.count(
 	    whole ? "online answers, whole" : "online answers, cut off");
 }
 
-question_t
-ask_model(const std::string &prompt, int tokens, bool streamed)
+vm_request_t
+make_completion(const std::string &prompt, int tokens, bool streamed)
 {
-	question_t question;
+	vm_request_t request;
 
-	question.operation = streamed ? "stream" : "complete";
-	question.key = prompt;
-	question.method = "POST";
-	question.body = "{\"model\":\"narrador\",\"prompt\":\"" + prompt +
+	request.operation = streamed ? "stream" : "complete";
+	request.key = prompt;
+	request.method = "POST";
+	request.body = "{\"model\":\"narrador\",\"prompt\":\"" + prompt +
 	    "\",\"max_tokens\":" + std::to_string(tokens) +
 	    (streamed ? ",\"stream\":true}" : "}");
-	question.timeout_ms = ONLINE_TIMEOUT_MS;
-	return question;
+	request.timeout_ms = ONLINE_TIMEOUT_MS;
+	return request;
 }
 
-question_t
-ask_service(const std::string &key)
+vm_request_t
+make_call(const std::string &key)
 {
-	question_t question;
+	vm_request_t request;
 
-	question.operation = "call";
-	question.key = key;
-	question.method = "POST";
-	question.body = "{\"order\":\"" + key + "\"}";
-	question.headers = {"Idempotency-Key: " + key};
-	question.timeout_ms = CALL_TIMEOUT_MS;
-	question.keeps_answer = true;
-	return question;
+	request.operation = "call";
+	request.key = key;
+	request.method = "POST";
+	request.body = "{\"order\":\"" + key + "\"}";
+	request.headers = {"Idempotency-Key: " + key};
+	request.timeout_ms = CALL_TIMEOUT_MS;
+	request.records_body = true;
+	return request;
 }
 
 harness::reply_t
-send_call(caller_t &caller, question_t question)
+send_call(caller_t &caller, vm_request_t request)
 {
 	const harness::vm_t &vm = caller.pick_vm();
 
-	question.url = vm.callers + "/services/pallets/call/book";
-	return ask(caller, vm, question);
+	request.url = vm.callers + "/services/pallets/call/book";
+	return send_to_vm(caller, vm, request);
 }
 
-/* Sends the order until somebody says what became of it. */
+/* Sends the order until a VM answers that it is done, or tries run out. */
 void
-place_order(caller_t &caller, const question_t &question)
+place_order(caller_t &caller, const vm_request_t &request)
 {
 	harness::reply_t reply;
-	std::thread twin;
-	caller_t other(caller.stage, question.key, 0);
+	std::thread duplicate;
+	caller_t other(caller.context, request.key, 0);
 
-	/* Its shop's browser sends it twice at once. */
+	/* A duplicate: the browser sends the order twice at once. */
 	if (caller.chance(10))
-		twin = std::thread([&] { send_call(other, question); });
-	for (int i = 0; i < CALL_TRIES && !caller.stage.stop; i++) {
-		reply = send_call(caller, question);
+		duplicate = std::thread([&] { send_call(other, request); });
+	for (int i = 0; i < CALL_TRIES && !caller.context.stop; i++) {
+		reply = send_call(caller, request);
 		if (reply.status == 200)
 			break;
-		caller.rest_after(reply);
+		caller.pause_after(reply);
 	}
 	if (reply.status == 200 && caller.chance(20))
-		send_call(caller, question);
-	if (twin.joinable())
-		twin.join();
+		send_call(caller, request);
+	if (duplicate.joinable())
+		duplicate.join();
 }
 
-/* The patch of one operator; what it says is found by the patch's name. */
-question_t
-ask_patch(const std::string &name, long version)
+/* A patch whose name is its team, key and operator, to find it later. */
+vm_request_t
+make_patch(const std::string &name, long version)
 {
-	question_t question;
+	vm_request_t request;
 
-	question.operation = "patch";
-	question.key = name;
-	question.method = "PATCH";
-	question.body = "{\"teams\":{\"" + name + "\":{\"weight\":2}}}";
-	question.headers = {"If-Match: \"" + std::to_string(version) + "\"",
+	request.operation = "patch";
+	request.key = name;
+	request.method = "PATCH";
+	request.body = "{\"teams\":{\"" + name + "\":{\"weight\":2}}}";
+	request.headers = {"If-Match: \"" + std::to_string(version) + "\"",
 	    "Idempotency-Key: " + name, "Jujube-Operator: " + name};
-	question.keeps_answer = true;
-	return question;
+	request.records_body = true;
+	return request;
 }
 
 } // namespace
@@ -146,88 +148,90 @@
 void
 call_online(caller_t &caller)
 {
-	for (int i = 0; !caller.stage.stop; i++) {
+	for (int i = 0; !caller.context.stop; i++) {
 		std::string prompt = caller.name + " asks " + std::to_string(i);
 		bool streamed = caller.chance(50);
 		int tokens = static_cast<int>(caller.draw(2, 24));
 		const harness::vm_t &vm = caller.pick_vm();
-		question_t question = ask_model(prompt, tokens, streamed);
-		question.url = vm.callers + "/v1/completions";
-		question.headers = {"Jujube-Deadline-Ms: 6000",
+		vm_request_t request =
+		    make_completion(prompt, tokens, streamed);
+		request.url = vm.callers + "/v1/completions";
+		request.headers = {"Jujube-Deadline-Ms: 6000",
 		    "Jujube-Team: shop-" + std::to_string(i % 3)};
-		if (caller.chance(VANISH_PERCENT))
-			question.timeout_ms = VANISH_MS;
-		judge_online(caller.stage, ask(caller, vm, question), prompt,
-		    tokens, streamed);
-		caller.rest(50, 250);
+		if (caller.chance(DISCONNECT_PERCENT))
+			request.timeout_ms = DISCONNECT_MS;
+		check_online_answer(caller.context,
+		    send_to_vm(caller, vm, request), prompt, tokens, streamed);
+		caller.pause(50, 250);
 	}
 }
 
 void
 call_service(caller_t &caller)
 {
-	for (int i = 0; !caller.stage.stop; i++) {
+	for (int i = 0; !caller.context.stop; i++) {
 		place_order(caller,
-		    ask_service(caller.name + "-order-" + std::to_string(i)));
-		caller.rest(50, 400);
+		    make_call(caller.name + "-order-" + std::to_string(i)));
+		caller.pause(50, 400);
 	}
 }
 
 void
 patch_config(caller_t &caller)
 {
-	for (int i = 0; !caller.stage.stop; i++) {
+	for (int i = 0; !caller.context.stop; i++) {
 		long version = caller.pick_vm().version();
 		std::string name = caller.name + "-" + std::to_string(i);
-		question_t question = ask_patch(name, version);
+		vm_request_t request = make_patch(name, version);
 		for (int j = 0; version > 0 && j < PATCH_TRIES; j++) {
 			const harness::vm_t &vm = caller.pick_vm();
-			question.url = vm.operators + "/v1/config";
-			harness::reply_t reply = ask(caller, vm, question);
+			request.url = vm.operators + "/v1/config";
+			harness::reply_t reply =
+			    send_to_vm(caller, vm, request);
 			if (reply.status != 0 && reply.status != 503)
 				break;
-			caller.rest_after(reply);
+			caller.pause_after(reply);
 		}
-		caller.rest(500, 2000);
+		caller.pause(500, 2000);
 	}
 }
 
 void
 watch_versions(caller_t &caller)
 {
-	stage_t &stage = caller.stage;
-	std::vector<long> seen(stage.fleet.vms.size());
-	std::vector<int> lives(stage.fleet.vms.size());
+	run_context_t &context = caller.context;
+	std::vector<long> seen(context.fleet.vms.size());
+	std::vector<int> transitions(context.fleet.vms.size());
 
-	while (!stage.stop) {
+	while (!context.stop) {
 		for (size_t i = 0; i < seen.size(); i++) {
-			const harness::vm_t &vm = *stage.fleet.vms[i];
-			int life = stage.lives[i];
+			const harness::vm_t &vm = *context.fleet.vms[i];
+			int transition = context.transitions[i];
 			long version =
 			    harness::call("GET", vm.operators + "/v1/status",
 				"", {}, STATUS_TIMEOUT_MS)
 				.number("config_version");
-			if (life % 2 != 0 || life != stage.lives[i] ||
-			    version < 0)
+			if (transition % 2 != 0 ||
+			    transition != context.transitions[i] || version < 0)
 				continue;
-			if (life != lives[i])
+			if (transition != transitions[i])
 				seen[i] = 0;
-			lives[i] = life;
-			stage.verdicts.judge(
-			    "configuration: its version never goes back",
+			transitions[i] = transition;
+			context.verdicts.expect(
+			    "configuration: the version of a VM never decreases",
 			    version >= seen[i],
 			    vm.name + " went from " + std::to_string(seen[i]) +
 				" to " + std::to_string(version));
 			seen[i] = version;
 		}
-		caller.rest(100, 200);
+		caller.pause(100, 200);
 	}
 }
 
 std::vector<std::thread>
-start_traffic(stage_t &stage)
+start_traffic(run_context_t &context)
 {
-	const shape_t &shape = *stage.options.shape;
+	const shape_t &shape = *context.options.shape;
 	const struct {
 		const char *role;
 		int count;
@@ -238,14 +242,14 @@
 	    {"batch", shape.batch_callers, submit_jobs},
 	    {"operator", 3, patch_config},
 	    {"observer", 1, watch_versions},
-	    {"poison", stage.options.brings("poison") ? 1 : 0, send_poison},
+	    {"poison", context.options.includes("poison") ? 1 : 0, send_poison},
 	};
 	std::vector<std::thread> threads;
 
 	for (const auto &row : rows) {
 		for (int i = 0; i < row.count; i++) {
-			threads.emplace_back([&stage, row, i] {
-				caller_t caller(stage, row.role, i);
+			threads.emplace_back([&context, row, i] {
+				caller_t caller(context, row.role, i);
 				row.work(caller);
 			});
 		}
--- a/tests/soak/traffic.h
+++ b/tests/soak/traffic.h
@@ -14,23 +14,23 @@
 
 /* Online completions, half of them streamed. */
 void call_online(caller_t &caller);
-/* Calls that may run once, each under a key of its own. */
+/* Non-idempotent calls, each with its own key. */
 void call_service(caller_t &caller);
 /* Batch jobs: upload, submission, status, some cancels. */
 void submit_jobs(caller_t &caller);
 /* Patches of the configuration. */
 void patch_config(caller_t &caller);
-/* Looks at the version of the configuration at each VM. */
+/* Checks that no VM's configuration version decreases. */
 void watch_versions(caller_t &caller);
-/* Prompts that crash each engine that runs them, sent again and again. */
+/* Prompts that crash each engine that runs them, sent repeatedly. */
 void send_poison(caller_t &caller);
 
-/* Uploads and submits a job until a VM accepts it; false: none did. */
+/* Uploads and submits a job; false if no VM has accepted it. */
 bool submit_job(caller_t &caller, job_t &job);
-/* The status of a job as a VM tells it; empty: it tells none. */
-std::string ask_status(caller_t &caller, const std::string &id);
+/* The status of a job from a picked VM; empty: no valid answer. */
+std::string fetch_status(caller_t &caller, const std::string &id);
 
-std::vector<std::thread> start_traffic(stage_t &stage);
+std::vector<std::thread> start_traffic(run_context_t &context);
 
 } // namespace soak
 
