--- a/tests/figures/batch_figure.cc
+++ b/tests/figures/batch_figure.cc
@@ -1,6 +1,7 @@
 /*
- * Batch beside online requests with real processes: throughput and harm at
- * both ends of the trade, against the same arrivals without batch.
+ * Batch together with online requests, with real processes: batch throughput
+ * and online latency with the setting "trade" at 0 and at 1, compared with the
+ * same arrivals without batch.
  */
 #include "tests/figures/figures.h"
 
--- a/tests/figures/calls_figure.cc
+++ b/tests/figures/calls_figure.cc
@@ -1,7 +1,7 @@
 /*
- * What 1,000 batch items and 1,000 non-idempotent calls with keys cost the
- * platform beyond an idle interval of the same length, in calm and with one
- * VM killed.
+ * Platform calls caused by 1,000 batch items and by 1,000 non-idempotent calls
+ * with keys, less those of an idle interval of the same length; without faults
+ * and with one VM killed.
  */
 #include "tests/figures/figures.h"
 
@@ -21,9 +21,9 @@
 constexpr long STARTED_BEFORE_KILL = 200;
 constexpr long SETTLE_MS = 3000;
 constexpr long RETRY_MS = 100;
-/* Spreads the calls over some 10 s, longer than a slot's takeover. */
+/* Spreads the calls over about 10 s, longer than the takeover of a key slot. */
 constexpr long CALL_GAP_MS = 80;
-constexpr long GIVE_UP_MS = 20000;
+constexpr long ANSWER_LIMIT_MS = 20000;
 
 using samples_t = std::map<std::string, sample_t>;
 
@@ -38,14 +38,14 @@
 	return options;
 }
 
-/* Adds what the work cost above what nothing costs in the same time. */
+/* Adds the calls of the work, less those of an idle interval as long. */
 void
-add_costs(
+add_call_counts(
     const fleet_t &fleet, const calls_t &work, long took_ms, samples_t &samples)
 {
-	rest(SETTLE_MS);
+	sleep_ms(SETTLE_MS);
 	calls_t before = count_calls(fleet.platform);
-	rest(took_ms);
+	sleep_ms(took_ms);
 	calls_t idle = subtract(count_calls(fleet.platform), before);
 	for (const auto &[kind, count] : subtract(work, idle))
 		samples[kind].add(static_cast<double>(count));
@@ -55,13 +55,13 @@
 }
 
 void
-print_costs(const std::string &name, const samples_t &samples)
+print_call_counts(const std::string &name, const samples_t &samples)
 {
 	for (const auto &[kind, sample] : samples)
 		sample.print(name + "_" + kind);
 }
 
-/* The VM that a chunk of the job is claimed by; null before the claim. */
+/* A VM that holds a chunk of the job; null: no chunk is claimed yet. */
 vm_t *
 find_holder(const fleet_t &fleet, const std::string &id)
 {
@@ -75,7 +75,7 @@
 }
 
 void
-cost_job(fleet_t &fleet, bool kills, int trial, samples_t &samples)
+run_job_trial(fleet_t &fleet, bool kills, int trial, samples_t &samples)
 {
 	std::string name = "cost " + std::to_string(trial) + " ";
 	const vm_t &entry = *fleet.vms[trial];
@@ -104,18 +104,18 @@
 	}
 	long took = now_ms() - begin;
 	calls_t work = subtract(count_calls(fleet.platform), before);
-	add_costs(fleet, work, took, samples);
+	add_call_counts(fleet, work, took, samples);
 	if (victim != nullptr)
 		fleet.replace(*victim);
 	fleet.wait_ready();
 }
 
-/* A call that its client repeats under its key, at other VMs, until it is
- * answered for good. */
+/* Repeats a call with the same key, each time to the next VM, until it has a
+ * final answer: served, or its outcome is unknown. */
 std::string
 book_until_answered(const fleet_t &fleet, size_t at, const std::string &key)
 {
-	long until = now_ms() + GIVE_UP_MS;
+	long until = now_ms() + ANSWER_LIMIT_MS;
 
 	while (now_ms() < until) {
 		reply_t reply = fleet.vms[at++ % fleet.vms.size()]->book(key);
@@ -124,13 +124,13 @@
 		if (reply.text("run") == "unknown" &&
 		    reply.header("Retry-After").empty())
 			return "unknown";
-		rest(RETRY_MS);
+		sleep_ms(RETRY_MS);
 	}
 	return "unanswered";
 }
 
 void
-cost_calls(fleet_t &fleet, bool kills, int trial, samples_t &samples)
+run_calls_trial(fleet_t &fleet, bool kills, int trial, samples_t &samples)
 {
 	std::string name =
 	    "cost-" + std::to_string(kills) + "-" + std::to_string(trial) + "-";
@@ -149,7 +149,7 @@
 				std::unique_lock<std::mutex> guard(lock);
 				ends[end]++;
 				guard.unlock();
-				rest(CALL_GAP_MS);
+				sleep_ms(CALL_GAP_MS);
 			}
 		});
 	}
@@ -164,7 +164,7 @@
 	calls_t work = subtract(count_calls(fleet.platform), before);
 	for (const char *end : {"served", "unknown", "unanswered"})
 		samples[end].add(ends[end]);
-	add_costs(fleet, work, took, samples);
+	add_call_counts(fleet, work, took, samples);
 	fleet.wait_ready();
 }
 
@@ -175,8 +175,8 @@
 	samples_t samples;
 
 	for (int i = 0; i < BATCH_TRIALS; i++)
-		cost_job(fleet, kills, i, samples);
-	print_costs(name, samples);
+		run_job_trial(fleet, kills, i, samples);
+	print_call_counts(name, samples);
 }
 
 void
@@ -185,7 +185,7 @@
 	fleet_t fleet(nine_vms());
 	samples_t samples;
 
-	/* The slots of the keys have their homes afterwards. */
+	/* After these calls, the key slots have their homes. */
 	for (size_t at = 0; at < fleet.vms.size(); at++) {
 		for (int i = 0; i < WARM_CALLS; i++)
 			book_until_answered(fleet, at,
@@ -193,8 +193,8 @@
 				std::to_string(i));
 	}
 	for (int i = 0; i < CALL_TRIALS; i++)
-		cost_calls(fleet, kills, i, samples);
-	print_costs(name, samples);
+		run_calls_trial(fleet, kills, i, samples);
+	print_call_counts(name, samples);
 	EXPECT_EQ(fleet.runs("doubled"), 0);
 }
 
--- a/tests/figures/config_figure.cc
+++ b/tests/figures/config_figure.cc
@@ -1,6 +1,6 @@
 /*
- * How long a configuration takes to be in force at the last of nine VMs, in
- * calm and with one domain cut off from the platform.
+ * Time until a patch of the configuration is in force at the last of nine VMs,
+ * without faults and with one domain cut off from the platform.
  */
 #include "tests/figures/figures.h"
 
@@ -31,7 +31,7 @@
 	return text;
 }
 
-/* When the VM first had the version or a newer one. */
+/* When the VM adopted the version or a newer one; -1: never. */
 double
 find_adoption(const std::vector<std::pair<double, long>> &events, long version)
 {
@@ -56,7 +56,7 @@
 		version = std::max(version, vm->version());
 	for (int i = 0; i < PATCHES; i++) {
 		const vm_t &vm = *entries[i % entries.size()];
-		wait_until(vm.name + " has the newest",
+		wait_until(vm.name + " has the newest version",
 		    [&] { return vm.version() >= version; });
 		double sent = wall_ms();
 		reply_t reply = vm.patch(version, describe_patch(i));
@@ -64,7 +64,7 @@
 		patches.push_back({++version, sent, wall_ms()});
 	}
 	for (const std::unique_ptr<vm_t> &vm : fleet.vms)
-		wait_until(vm->name + " has the last",
+		wait_until(vm->name + " has the last version",
 		    [&] { return vm->version() >= version; });
 	std::vector<std::vector<std::pair<double, long>>> adopted;
 	for (const std::unique_ptr<vm_t> &vm : fleet.vms)
@@ -87,8 +87,8 @@
 }
 
 /*
- * Story: an operator's patch is accepted, and one domain cannot see the
- * platform. It has to hear of the patch from a neighbour.
+ * An operator's patch is accepted while one domain is cut off from the
+ * platform. Its VMs can receive the patch only from a neighbour.
  */
 TEST(Figures, ConfigurationInForce)
 {
@@ -107,7 +107,7 @@
 	}
 	measure(fleet, "config_calm", all);
 	fleet.cut_platform_from_domain(0);
-	rest(1000);
+	sleep_ms(1000);
 	measure(fleet, "config_domain_cut_from_platform", others);
 }
 
--- a/tests/figures/cut_figure.cc
+++ b/tests/figures/cut_figure.cc
@@ -1,5 +1,6 @@
 /*
- * What a failure domain that is cut off still serves, by kind of request.
+ * Share of requests, by kind, that a failure domain still serves while it is
+ * cut off.
  */
 #include "tests/figures/figures.h"
 
@@ -15,9 +16,9 @@
 constexpr int TOKENS = 5;
 constexpr int ONLINE_TOKENS = 4;
 constexpr long BEFORE_MS = 5000;
-constexpr long HOLD_MS = 25000;
-constexpr long EARLY_MS = 10000;
-constexpr long LATE_MS = 15000;
+constexpr long CUT_MS = 25000;
+constexpr long FIRST_WINDOW_MS = 10000;
+constexpr long LAST_WINDOW_BEGIN_MS = 15000;
 constexpr int SETTLE_CALLS = 32; /* at each VM */
 constexpr long ANSWER_LIMIT_MS = 10000;
 
@@ -77,7 +78,7 @@
 	};
 }
 
-/* Waits until the slots of the keys have their homes. */
+/* Waits until the key slots have their homes. */
 void
 wait_settled(const fleet_t &fleet)
 {
@@ -91,7 +92,7 @@
 	}
 }
 
-/* Sends all kinds side by side, each at its own pace. */
+/* Sends requests of all kinds in parallel; none waits for another. */
 std::map<std::string, int>
 probe(const fleet_t &fleet, const std::vector<kind_t> &kinds,
     const std::string &name)
@@ -110,16 +111,16 @@
 					    "-" + std::to_string(i)));
 			}
 		}
-		rest(GAP_MS);
+		sleep_ms(GAP_MS);
 	}
-	for (auto &[kind, later] : sent) {
-		for (std::future<bool> &answer : later)
+	for (auto &[kind, answers] : sent) {
+		for (std::future<bool> &answer : answers)
 			served[kind] += answer.get();
 	}
 	return served;
 }
 
-/* Batch items a second that the engine of the domain finished. */
+/* Batch items per second that the engine of the cut domain completed. */
 double
 rate_batch(const fleet_t &fleet, long from_ms, long until_ms)
 {
@@ -146,14 +147,14 @@
 	std::vector<kind_t> kinds = list_kinds(small, id);
 	std::map<std::string, int> before = probe(fleet, kinds, "before");
 
-	rest(BEFORE_MS);
+	sleep_ms(BEFORE_MS);
 	long begin = now_ms();
 	if (cut.others)
 		fleet.cut_domain(0, true);
 	if (cut.platform)
 		fleet.cut_platform_from_domain(0);
 	std::map<std::string, int> during = probe(fleet, kinds, "during");
-	rest(begin + HOLD_MS - now_ms());
+	sleep_ms(begin + CUT_MS - now_ms());
 	for (const kind_t &kind : kinds) {
 		print_share(name + "_before_" + kind.name, before[kind.name],
 		    2 * REQUESTS);
@@ -163,11 +164,11 @@
 	printf("figure=%s_batch_items_per_second trials=1 before=%.1f "
 	       "first_10s=%.1f from_15_to_25s=%.1f others_15_to_25s=%.1f\n",
 	    name.c_str(), rate_batch(fleet, begin - BEFORE_MS, begin),
-	    rate_batch(fleet, begin, begin + EARLY_MS),
-	    rate_batch(fleet, begin + LATE_MS, begin + HOLD_MS),
-	    static_cast<double>(count_batch_done(
-		fleet.engines[1], begin + LATE_MS, begin + HOLD_MS)) *
-		1000 / (HOLD_MS - LATE_MS));
+	    rate_batch(fleet, begin, begin + FIRST_WINDOW_MS),
+	    rate_batch(fleet, begin + LAST_WINDOW_BEGIN_MS, begin + CUT_MS),
+	    static_cast<double>(count_batch_done(fleet.engines[1],
+		begin + LAST_WINDOW_BEGIN_MS, begin + CUT_MS)) *
+		1000 / (CUT_MS - LAST_WINDOW_BEGIN_MS));
 	fleet.cut_domain(0, false);
 	fleet.cut_platform({});
 	EXPECT_EQ(fleet.runs("doubled"), 0);
--- a/tests/figures/figures.cc
+++ b/tests/figures/figures.cc
@@ -1,5 +1,5 @@
 /*
- * Samples, traffic and looks for the figures under failure.
+ * Samples, traffic and reads of state for the measurements under failure.
  */
 #include "tests/figures/figures.h"
 
@@ -22,12 +22,12 @@
 {
 
 constexpr size_t ARRIVAL_THREADS = 96;
-constexpr long FLOW_REST_MS = 5;
-constexpr int FLOW_TOKENS = 4;
+constexpr long TRAFFIC_PAUSE_MS = 5;
+constexpr int TRAFFIC_TOKENS = 4;
 const char *const CALL_KINDS[] = {
     "get", "put", "delete", "list", "watch", "vms", "weights"};
 
-/* What a streamed answer holds, and when it began. */
+/* The text of a streamed answer, and when its first byte arrived. */
 struct body_t {
 	std::string text;
 	long due_ms;
@@ -118,16 +118,15 @@
 }
 
 void
-print_share(const std::string &name, long served, long asked)
+print_share(const std::string &name, long served, long sent)
 {
 	printf("figure=%s trials=%ld served=%ld share=%.3f\n", name.c_str(),
-	    asked, served,
-	    asked > 0 ? static_cast<double>(served) / asked : 0.0);
+	    sent, served, sent > 0 ? static_cast<double>(served) / sent : 0.0);
 	fflush(stdout);
 }
 
 void
-rest(long ms)
+sleep_ms(long ms)
 {
 	if (ms > 0)
 		std::this_thread::sleep_for(std::chrono::milliseconds(ms));
@@ -201,7 +200,7 @@
 	for (size_t i = next++; i < due.size(); i = next++) {
 		const vm_t &vm = *fleet.vms[i % fleet.vms.size()];
 
-		rest(due[i] - now_ms());
+		sleep_ms(due[i] - now_ms());
 		timed_t timed = stream_completion(
 		    vm, "online " + std::to_string(i), tokens, due[i]);
 		std::lock_guard<std::mutex> guard(lock);
@@ -213,28 +212,29 @@
 	}
 }
 
-flow_t::flow_t(const fleet_t &fleet, int threads_per_vm)
+background_traffic_t::background_traffic_t(
+    const fleet_t &fleet, int threads_per_vm)
 {
 	for (const std::unique_ptr<vm_t> &vm : fleet.vms) {
 		for (int i = 0; i < threads_per_vm; i++) {
 			threads.emplace_back([this, &vm] {
 				while (!stop) {
-					vm->complete("flow", FLOW_TOKENS);
-					rest(FLOW_REST_MS);
+					vm->complete("flow", TRAFFIC_TOKENS);
+					sleep_ms(TRAFFIC_PAUSE_MS);
 				}
 			});
 		}
 	}
 }
 
-flow_t::~flow_t()
+background_traffic_t::~background_traffic_t()
 {
 	stop = true;
 	for (std::thread &thread : threads)
 		thread.join();
 }
 
-/* ---- Looks ---- */
+/* ---- State of the platform and of backend servers ---- */
 
 calls_t
 count_calls(const standin_t &platform)
@@ -252,11 +252,11 @@
 calls_t
 subtract(const calls_t &from, const calls_t &what)
 {
-	calls_t rest = from;
+	calls_t difference = from;
 
 	for (const auto &[kind, count] : what)
-		rest[kind] -= count;
-	return rest;
+		difference[kind] -= count;
+	return difference;
 }
 
 std::map<std::string, std::string>
--- a/tests/figures/figures.h
+++ b/tests/figures/figures.h
@@ -1,6 +1,7 @@
 /*
- * What the figures under failure share: samples, traffic, and looks at the
- * platform and the backend servers that cost the platform no call.
+ * Shared by the measurements under failure: samples, traffic, and reads of the
+ * state of the platform and of backend servers that are not counted as calls of
+ * the platform.
  *
  * A figure is one line "figure=NAME trials=N key=value ...". Times are in
  * milliseconds unless the name says otherwise.
@@ -36,14 +37,14 @@
 	std::vector<double> values;
 };
 
-/* Prints a share of requests as served/asked. */
-void print_share(const std::string &name, long served, long asked);
+/* Prints how many of the requests were served, and their share. */
+void print_share(const std::string &name, long served, long sent);
 
-void rest(long ms);
-/* Milliseconds of the wall clock, which log lines carry. */
+void sleep_ms(long ms);
+/* Wall-clock time in ms, comparable with the times in log lines. */
 double wall_ms();
 
-/* A streamed completion with the times of its bytes since it was due. */
+/* A streamed completion; times are in ms since the request was due. */
 struct timed_t {
 	bool whole = false;
 	double first_ms = 0;
@@ -53,7 +54,8 @@
 timed_t stream_completion(
     const vm_t &vm, const std::string &prompt, int tokens, long due_ms);
 
-/* Streamed completions at seeded Poisson times, whatever becomes of them. */
+/* Streamed completions at seeded Poisson times. The times do not depend on how
+ * earlier requests end. */
 class arrivals_t
 {
       public:
@@ -63,7 +65,7 @@
 
 	arrivals_t(
 	    const fleet_t &fleet, double per_second, int tokens, unsigned seed);
-	/* Returns when all that arrived within the time were answered. */
+	/* Sends requests for for_ms; returns when all of them have ended. */
 	void run(long for_ms);
 
       private:
@@ -76,12 +78,12 @@
 	void serve(const std::vector<long> &due, std::atomic<size_t> &next);
 };
 
-/* Threads that send short completions to each VM one after another. */
-class flow_t
+/* Threads per VM that each send short completions in sequence. */
+class background_traffic_t
 {
       public:
-	flow_t(const fleet_t &fleet, int threads_per_vm);
-	~flow_t();
+	background_traffic_t(const fleet_t &fleet, int threads_per_vm);
+	~background_traffic_t();
 
       private:
 	std::atomic<bool> stop{false};
@@ -90,22 +92,23 @@
 
 using calls_t = std::map<std::string, long>;
 
-/* The platform's calls so far by kind, with their sum as "all". */
+/* Calls that the platform has received, by kind; "all" is their sum. */
 calls_t count_calls(const standin_t &platform);
 calls_t subtract(const calls_t &from, const calls_t &what);
-/* The holders of a job's chunks that run, by key, from the write log. */
+/* Holders of the job's running chunks, by key, read from the write log. */
 std::map<std::string, std::string>
 read_holders(const standin_t &platform, const std::string &prefix);
-/* Whether the job's end is written. */
+/* Whether the platform has the record of the job's end. */
 bool has_ended(const standin_t &platform, const std::string &id);
 
-/* Streams of batch that an engine admitted; ended ones within a time. */
+/* Batch streams that an engine has admitted. */
 long count_batch_records(const standin_t &engine);
+/* Batch streams that an engine completed within [from_ms, until_ms). */
 long count_batch_done(const standin_t &engine, long from_ms, long until_ms);
-/* When an engine last admitted a stream, of now_ms()'s clock; 0: never. */
+/* When the engine last admitted a stream, on the clock of now_ms(); 0: never. */
 long find_last_start(const standin_t &engine);
 
-/* A field of each log line of an event, with the line's wall time. */
+/* Wall-clock time (ms) and value of a field, of each log line of an event. */
 std::vector<std::pair<double, long>>
 read_events(const vm_t &vm, const std::string &event, const std::string &field);
 
--- a/tests/figures/leave_figure.cc
+++ b/tests/figures/leave_figure.cc
@@ -1,5 +1,6 @@
 /*
- * How long a backend server that leaves is still sent new requests.
+ * How long a backend server still receives new requests after it has announced
+ * that it leaves.
  */
 #include "tests/figures/figures.h"
 
@@ -13,10 +14,10 @@
 
 constexpr int TRIALS = 5;
 constexpr long LIST_LAG_MS = 2000;
-constexpr long FLOW_MS = 1000;
+constexpr long TRAFFIC_MS = 1000;
 constexpr long AFTER_MS = 8000;
 
-/* Whether a VM would still give a server work. */
+/* Whether a VM would still send requests to a server. */
 bool
 takes_work(const vm_t &vm, const std::string &server)
 {
@@ -30,17 +31,17 @@
 	return false;
 }
 
-/* How many VMs of the server's own domain would give it work: those of the
- * others hear of its leaving when they send it something. */
+/* Number of VMs in the server's domain that would send it requests. VMs of other
+ * domains learn that it leaves only when they send it a request. */
 int
-count_givers(const fleet_t &fleet, const standin_t &engine)
+count_sending_vms(const fleet_t &fleet, const standin_t &engine)
 {
-	int givers = 0;
+	int sending = 0;
 
 	for (const std::unique_ptr<vm_t> &vm : fleet.vms)
-		givers +=
+		sending +=
 		    vm->domain == engine.domain && takes_work(*vm, engine.name);
-	return givers;
+	return sending;
 }
 
 struct samples_t {
@@ -52,25 +53,25 @@
 leave(const fleet_t &fleet, const standin_t &engine, bool listed,
     samples_t &samples)
 {
-	flow_t flow(fleet, 3);
+	background_traffic_t traffic(fleet, 3);
 
-	rest(FLOW_MS);
-	long told = now_ms();
+	sleep_ms(TRAFFIC_MS);
+	long announced_ms = now_ms();
 	if (listed)
 		fleet.list_leaving({engine.name});
 	else
 		engine.fault("{\"leaving\":true}");
-	wait_until("no VM of the domain gives " + engine.name + " work",
-	    [&] { return count_givers(fleet, engine) == 0; });
-	samples.last_vm.add(static_cast<double>(now_ms() - told));
-	rest(told + AFTER_MS - now_ms());
-	samples.last_admitted.add(
-	    static_cast<double>(std::max(0L, find_last_start(engine) - told)));
+	wait_until("no VM of the domain sends requests to " + engine.name,
+	    [&] { return count_sending_vms(fleet, engine) == 0; });
+	samples.last_vm.add(static_cast<double>(now_ms() - announced_ms));
+	sleep_ms(announced_ms + AFTER_MS - now_ms());
+	samples.last_admitted.add(static_cast<double>(
+	    std::max(0L, find_last_start(engine) - announced_ms)));
 }
 
 /*
- * Story: a server is being replaced. Either it says so itself, or only the
- * platform's list knows, two seconds late.
+ * A server is being replaced. Either it announces this itself, or only the
+ * platform's list of servers shows it, two seconds late.
  */
 TEST(Figures, LeavingServer)
 {
@@ -87,12 +88,12 @@
 			standin_t &engine =
 			    fleet.engines[i % fleet.engines.size()];
 			leave(fleet, engine, listed, samples);
-			/* Its replacement: the same address, a new run. */
+			/* Its replacement: a new process at the same address. */
 			engine.process->kill();
 			engine.start();
 			fleet.list_leaving({});
 			wait_until(engine.name + " takes work again", [&] {
-				return count_givers(fleet, engine) ==
+				return count_sending_vms(fleet, engine) ==
 				    options.vms;
 			});
 		}
--- a/tests/figures/poison_figure.cc
+++ b/tests/figures/poison_figure.cc
@@ -1,6 +1,6 @@
 /*
- * How many backend servers one crashing request costs a whole fleet when its
- * caller sends it again and again.
+ * Number of backend servers that one request crashes in a fleet when its caller
+ * resends it repeatedly.
  */
 #include "tests/figures/figures.h"
 
@@ -19,18 +19,18 @@
 constexpr int HEALTHY = 10; /* requests at each VM afterwards */
 
 /* Restarts crashed engines on the same address and counts the crashes. */
-class keeper_t
+class restarter_t
 {
       public:
-	explicit keeper_t(fleet_t &fleet)
+	explicit restarter_t(fleet_t &fleet)
 	    : thread([this, &fleet] {
 		      while (!stop)
-			      look(fleet);
+			      restart_crashed(fleet);
 	      })
 	{
 	}
 
-	~keeper_t()
+	~restarter_t()
 	{
 		stop = true;
 		thread.join();
@@ -40,32 +40,33 @@
 
       private:
 	std::atomic<bool> stop{false};
-	std::map<std::string, long> dead; /* since, by name */
+	std::map<std::string, long> crashed_at; /* time of the crash, by name */
 	std::thread thread;
 
 	void
-	look(fleet_t &fleet)
+	restart_crashed(fleet_t &fleet)
 	{
 		for (standin_t &engine : fleet.engines) {
 			if (engine.process->is_alive())
 				continue;
-			if (dead.emplace(engine.name, now_ms()).second)
+			if (crashed_at.emplace(engine.name, now_ms()).second)
 				crashes++;
-			if (now_ms() - dead[engine.name] < RESTART_MS)
+			if (now_ms() - crashed_at[engine.name] < RESTART_MS)
 				continue;
-			dead.erase(engine.name);
+			crashed_at.erase(engine.name);
 			engine.start();
 		}
-		rest(5);
+		sleep_ms(5);
 	}
 };
 
 struct samples_t {
 	sample_t crashes;
-	sample_t first_refusal; /* sends until one is refused as poison */
+	/* Number of the first send that was refused as quarantined. */
+	sample_t first_refusal;
 	long refused = 0;
 	long healthy = 0;
-	long asked = 0;
+	long sent = 0;
 };
 
 void
@@ -79,7 +80,7 @@
 	options.domains = 3;
 	options.engines = 2;
 	fleet_t fleet(options);
-	keeper_t keeper(fleet);
+	restarter_t restarter(fleet);
 	for (size_t i = 0; i < fleet.vms.size(); i++)
 		order.push_back(i);
 	std::shuffle(order.begin(), order.end(), random);
@@ -93,22 +94,22 @@
 		samples.refused++;
 		first_refusal = std::min(first_refusal, i + 1);
 	}
-	rest(RECOVER_MS);
-	samples.crashes.add(keeper.crashes);
+	sleep_ms(RECOVER_MS);
+	samples.crashes.add(restarter.crashes);
 	samples.first_refusal.add(first_refusal);
 	for (const std::unique_ptr<vm_t> &vm : fleet.vms) {
 		for (int i = 0; i < HEALTHY; i++) {
 			std::string prompt = "healthy " + std::to_string(i);
 			reply_t reply = vm->complete(prompt, 2);
-			samples.asked++;
+			samples.sent++;
 			samples.healthy += is_answer_to(reply, prompt, 2);
 		}
 	}
 }
 
 /*
- * Story: one note crashes each engine that runs it. Its caller has a whole
- * fleet of VMs to send it to, and new keys for each try.
+ * One prompt crashes each engine that runs it. Its caller resends it to all VMs
+ * of the fleet in turn, with a new key each time.
  */
 TEST(Figures, PoisonRequest)
 {
@@ -121,7 +122,7 @@
 	print_share(
 	    "poison_sends_refused_as_poison", samples.refused, TRIALS * SENDS);
 	print_share(
-	    "poison_healthy_served_10s_later", samples.healthy, samples.asked);
+	    "poison_healthy_served_10s_later", samples.healthy, samples.sent);
 }
 
 } // namespace
--- a/tests/figures/takeover_figure.cc
+++ b/tests/figures/takeover_figure.cc
@@ -1,6 +1,6 @@
 /*
- * A VM that holds chunks is killed: how long until another one claims them,
- * how much later the job ends, and how many items run again.
+ * A VM that holds chunks is killed: time until other VMs claim the chunks, time
+ * until the job ends, and number of items that run again.
  */
 #include "tests/figures/figures.h"
 
@@ -22,11 +22,12 @@
 	sample_t job;
 	sample_t job_after_kill;
 	sample_t chunks;
-	sample_t streams; /* beyond one an item */
-	int unended = 0; /* jobs that did not end; in no other sample */
+	sample_t streams; /* more than one per item */
+	/* Jobs without an end; their durations and streams are in no sample. */
+	int not_ended = 0;
 };
 
-/* The VM that holds most chunks; null: none runs. */
+/* The VM that holds the most chunks; null: no chunk is running. */
 vm_t *
 find_busiest(const fleet_t &fleet, const std::string &id)
 {
@@ -45,10 +46,10 @@
 	return busiest;
 }
 
-/* Waits until none of the dead VM's chunks is in its name. */
+/* Waits until the killed VM holds none of its chunks; records the times. */
 void
 follow_claims(const fleet_t &fleet, const std::string &id,
-    const std::string &dead, samples_t &samples)
+    const std::string &killed_name, samples_t &samples)
 {
 	std::map<std::string, std::string> held =
 	    read_holders(fleet.platform, "jobs/" + id + "/chunk/");
@@ -56,15 +57,15 @@
 	sample_t claims;
 
 	for (auto at = held.begin(); at != held.end();)
-		at = at->second == dead ? std::next(at) : held.erase(at);
+		at = at->second == killed_name ? std::next(at) : held.erase(at);
 	samples.chunks.add(static_cast<double>(held.size()));
 	wait_until(
-	    "the chunks of " + dead + " are claimed",
+	    "the chunks of " + killed_name + " are claimed",
 	    [&] {
 		    for (auto at = held.begin(); at != held.end();) {
 			    auto now = read_holders(fleet.platform, at->first);
 			    bool same = now.count(at->first) > 0 &&
-				now[at->first] == dead;
+				now[at->first] == killed_name;
 			    if (!same)
 				    claims.add(
 					static_cast<double>(now_ms() - killed));
@@ -104,7 +105,7 @@
 	if (!wait_until(
 		"the job ends", [&] { return has_ended(fleet.platform, id); },
 		4 * LIMIT_MS)) {
-		samples.unended++;
+		samples.not_ended++;
 		return;
 	}
 	samples.job.add(static_cast<double>(now_ms() - begin));
@@ -125,8 +126,9 @@
 }
 
 /*
- * Story: a VM dies with chunks in hand. Nobody is told; the others see that
- * its claims are no longer renewed, or hear that the VM is gone.
+ * A VM fails while it holds chunks, without a notification to the others. They
+ * detect that its claims are no longer renewed, or are notified that the VM is
+ * gone.
  */
 TEST(Figures, TakeOverCalm)
 {
@@ -137,7 +139,7 @@
 	calm.job.print("takeover_calm_job_ms");
 	calm.streams.print("takeover_calm_extra_streams");
 	printf("figure=takeover_calm_not_ended trials=%d value=%d\n",
-	    CALM_TRIALS, calm.unended);
+	    CALM_TRIALS, calm.not_ended);
 }
 
 TEST(Figures, TakeOverKilled)
@@ -153,7 +155,7 @@
 	killed.job_after_kill.print("takeover_kill_to_job_end_ms");
 	killed.streams.print("takeover_killed_extra_streams");
 	printf("figure=takeover_killed_not_ended trials=%d value=%d\n",
-	    KILL_TRIALS, killed.unended);
+	    KILL_TRIALS, killed.not_ended);
 }
 
 } // namespace
