--- a/tests/fuzz/intake.c
+++ b/tests/fuzz/intake.c
@@ -1,6 +1,7 @@
 /**
  * @file intake.c
- * @brief Fuzz target: an uploaded batch file, in pieces of any size.
+ * @brief Fuzz target: intake of an uploaded batch file, in pieces of
+ * 1 to 64 bytes.
  */
 #include <stdint.h>
 
--- a/tests/fuzz/objects.c
+++ b/tests/fuzz/objects.c
@@ -1,7 +1,7 @@
 /**
  * @file objects.c
- * @brief Fuzz target: values read back from the platform, and what operators
- * send as configuration.
+ * @brief Fuzz target: decoders of values stored on the platform, and of
+ * configurations that operators send.
  */
 #include <stdint.h>
 
--- a/tests/fuzz/platform.c
+++ b/tests/fuzz/platform.c
@@ -1,6 +1,7 @@
 /**
  * @file platform.c
- * @brief Fuzz target: what the users' platform answers, and the objects in it.
+ * @brief Fuzz target: answers of the platform, and the server and route
+ * objects in them.
  */
 #include <stdint.h>
 
--- a/tests/fuzz/sse.c
+++ b/tests/fuzz/sse.c
@@ -1,6 +1,7 @@
 /**
  * @file sse.c
- * @brief Fuzz target: a backend server's stream, in pieces of any size.
+ * @brief Fuzz target: a backend server's event stream, in pieces of
+ * 1 to 32 bytes.
  */
 #include <stdint.h>
 
--- a/tests/fuzz/toml.c
+++ b/tests/fuzz/toml.c
@@ -1,6 +1,7 @@
 /**
  * @file toml.c
- * @brief Fuzz target: any text as a settings file.
+ * @brief Fuzz target: any text as a settings file; a refusal must give a
+ * reason.
  */
 #include "adapters/settings.h"
 
--- a/tests/fuzz/traceparent.c
+++ b/tests/fuzz/traceparent.c
@@ -1,7 +1,7 @@
 /**
  * @file traceparent.c
- * @brief Fuzz target: any header as a traceparent; what is accepted must be
- * accepted again as the next hop gets it.
+ * @brief Fuzz target: any text as a traceparent header. If it is accepted, the
+ * header sent to the next hop must be accepted too.
  */
 #include <stdlib.h>
 #include <string.h>
--- a/tests/fuzz/wire.c
+++ b/tests/fuzz/wire.c
@@ -1,7 +1,7 @@
 /**
  * @file wire.c
- * @brief Fuzz target: any bytes into the decoder; what decodes must encode
- * and decode again to the same bytes.
+ * @brief Fuzz target: any bytes as a message. A decoded message, encoded,
+ * decoded and encoded again, must give the same bytes.
  */
 #include <string.h>
 
@@ -17,7 +17,7 @@
 
 	if (jj_wire_decode(data, size, &message) != JJ_WIRE_OK)
 		return 0;
-	/* Shortest forms only: at most as long as what came in. */
+	/* The encoder uses the shortest forms: never longer than the input. */
 	bytes = jj_wire_encode(&message);
 	JJ_INVARIANT(bytes.size > 0 && bytes.size <= size);
 	JJ_INVARIANT(
