--- a/tests/figures/leave_figure.cc
+++ b/tests/figures/leave_figure.cc
@@ -61,7 +61,7 @@
 		fleet.list_leaving({engine.name});
 	else
 		engine.fault("{\"leaving\":true}");
-	wait_until("no VM of the domain sends requests to " + engine.name,
+	wait_until("no VM of the domain sends " + engine.name + " requests",
 	    [&] { return count_sending_vms(fleet, engine) == 0; });
 	samples.last_vm.add(static_cast<double>(now_ms() - announced_ms));
 	sleep_ms(announced_ms + AFTER_MS - now_ms());
--- a/tests/soak/injector.cc
+++ b/tests/soak/injector.cc
@@ -18,8 +18,8 @@
 constexpr long ENGINE_RESTART_MS = 500;
 constexpr long CUTS_TIMEOUT_MS = 300;
 constexpr long CUTS_LIMIT_MS = 30000;
-/* Bytes; less than the line that a start logs. */
-constexpr size_t LOG_LINE = 50;
+/* Less than the line that a start logs. */
+constexpr size_t LOG_TAIL_BYTES = 50;
 
 bool
 is_vm_fault(fault_kind_t kind)
@@ -37,8 +37,9 @@
 
 } // namespace
 
-injector_t::injector_t(run_context_t &on)
-    : context(on), fleet(on.fleet), plan(plan_faults(on.options))
+injector_t::injector_t(run_context_t &run_context)
+    : context(run_context), fleet(run_context.fleet),
+      plan(plan_faults(run_context.options))
 {
 }
 
@@ -396,7 +397,7 @@
 void
 injector_t::record_crash(const harness::standin_t &engine)
 {
-	std::string end = engine.process->log_tail(LOG_LINE);
+	std::string end = engine.process->log_tail(LOG_TAIL_BYTES);
 
 	if (end.find("listen_failed") != std::string::npos) {
 		context.verdicts.count("engines that found their port taken");
--- a/tests/soak/schedule.cc
+++ b/tests/soak/schedule.cc
@@ -54,9 +54,9 @@
 }
 
 int
-weight_of(const options_t &options, const fault_spec_t &row)
+weight_of(const options_t &options, const fault_spec_t &spec)
 {
-	return options.includes(row.name) ? row.weight : 0;
+	return options.includes(spec.name) ? spec.weight : 0;
 }
 
 const fault_spec_t &
@@ -64,10 +64,10 @@
 {
 	long at = draw(random, 0, total - 1);
 
-	for (const fault_spec_t &row : FAULT_SPECS) {
-		at -= weight_of(options, row);
+	for (const fault_spec_t &spec : FAULT_SPECS) {
+		at -= weight_of(options, spec);
 		if (at < 0)
-			return row;
+			return spec;
 	}
 	return FAULT_SPECS[0];
 }
@@ -77,9 +77,9 @@
 const char *
 fault_name(fault_kind_t kind)
 {
-	for (const fault_spec_t &row : FAULT_SPECS) {
-		if (row.kind == kind)
-			return row.name;
+	for (const fault_spec_t &spec : FAULT_SPECS) {
+		if (spec.kind == kind)
+			return spec.name;
 	}
 	return "";
 }
@@ -87,8 +87,8 @@
 bool
 is_fault_kind(const std::string &name)
 {
-	for (const fault_spec_t &row : FAULT_SPECS) {
-		if (name == row.name)
+	for (const fault_spec_t &spec : FAULT_SPECS) {
+		if (name == spec.name)
 			return true;
 	}
 	return false;
@@ -99,8 +99,8 @@
 {
 	std::string names;
 
-	for (const fault_spec_t &row : FAULT_SPECS)
-		names += (names.empty() ? "" : ", ") + std::string(row.name);
+	for (const fault_spec_t &spec : FAULT_SPECS)
+		names += (names.empty() ? "" : ", ") + std::string(spec.name);
 	return names;
 }
 
@@ -113,14 +113,14 @@
 	long at_ms = NO_FAULTS_BEGIN_MS;
 	int total = 0;
 
-	for (const fault_spec_t &row : FAULT_SPECS)
-		total += weight_of(options, row);
+	for (const fault_spec_t &spec : FAULT_SPECS)
+		total += weight_of(options, spec);
 	while (total > 0 && at_ms < end_ms) {
-		const fault_spec_t &row =
+		const fault_spec_t &spec =
 		    draw_fault_spec(options, random, total);
-		long lasts_ms = draw(random, row.min_ms, row.max_ms);
+		long lasts_ms = draw(random, spec.min_ms, spec.max_ms);
 		faults.push_back(
-		    {at_ms, lasts_ms, row.kind, random(), random()});
+		    {at_ms, lasts_ms, spec.kind, random(), random()});
 		at_ms += draw(random, GAP_MIN_MS, GAP_MAX_MS);
 	}
 	return faults;
--- a/tests/soak/stage.cc
+++ b/tests/soak/stage.cc
@@ -26,10 +26,11 @@
 
 } // namespace
 
-run_context_t::run_context_t(const options_t &wanted, harness::fleet_t &built,
-    history_t &kept, verdicts_t &judged)
-    : options(wanted), fleet(built), history(kept), verdicts(judged),
-      transitions(built.vms.size())
+run_context_t::run_context_t(const options_t &run_options,
+    harness::fleet_t &run_fleet, history_t &run_history,
+    verdicts_t &run_verdicts)
+    : options(run_options), fleet(run_fleet), history(run_history),
+      verdicts(run_verdicts), transitions(run_fleet.vms.size())
 {
 	for (const harness::standin_t &engine : fleet.engines)
 		crashes[engine.domain] = 0;
@@ -43,9 +44,10 @@
 	jobs.push_back(job);
 }
 
-caller_t::caller_t(run_context_t &of, const std::string &role, int number)
-    : context(of), name(role + "-" + std::to_string(number)),
-      random(mix(of.options.seed, name))
+caller_t::caller_t(
+    run_context_t &run_context, const std::string &role, int number)
+    : context(run_context), name(role + "-" + std::to_string(number)),
+      random(mix(run_context.options.seed, name))
 {
 }
 
