--- a/tests/soak/checks.h
+++ b/tests/soak/checks.h
@@ -4,7 +4,7 @@
 #ifndef TESTS_SOAK_CHECKS_H
 #define TESTS_SOAK_CHECKS_H
 
-#include "tests/soak/stage.h"
+#include "tests/soak/context.h"
 
 namespace soak
 {
--- a/tests/soak/stage.cc
+++ b/tests/soak/context.cc
@@ -6,7 +6,7 @@
 
 #include <xxhash.h>
 
-#include "tests/soak/stage.h"
+#include "tests/soak/context.h"
 
 namespace soak
 {
--- a/tests/soak/stage.h
+++ b/tests/soak/context.h
@@ -1,8 +1,8 @@
 /*
  * State that all threads of a run share, and the requests they send to VMs.
  */
-#ifndef TESTS_SOAK_STAGE_H
-#define TESTS_SOAK_STAGE_H
+#ifndef TESTS_SOAK_CONTEXT_H
+#define TESTS_SOAK_CONTEXT_H
 
 #include <atomic>
 #include <map>
--- a/tests/soak/injector.h
+++ b/tests/soak/injector.h
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "tests/soak/schedule.h"
-#include "tests/soak/stage.h"
+#include "tests/soak/context.h"
 
 namespace soak
 {
--- a/tests/soak/traffic.h
+++ b/tests/soak/traffic.h
@@ -7,7 +7,7 @@
 #include <thread>
 #include <vector>
 
-#include "tests/soak/stage.h"
+#include "tests/soak/context.h"
 
 namespace soak
 {
