--- a/standins/common/process.c
+++ b/standins/common/process.c
@@ -10,21 +10,21 @@
 #include "process.h"
 
 #define LISTEN_DEFAULT "127.0.0.1:0"
-/* Between looks at whether a leaving process is idle, milliseconds. */
+/* Interval between idle checks of a leaving process, milliseconds. */
 #define IDLE_POLL_MS 5
-/* Resolution of a drawn share. */
-#define DRAW_RANGE 1000000
+/* Random numbers are drawn modulo this, which bounds the resolution. */
+#define RANDOM_RANGE 1000000
 
 static web_server_t *start_listening(const char *, web_handler_t, void *);
 static void announce(const char *, web_server_t *, web_server_t *);
-static void leave(const process_t *);
-static void *end_at_once(void *);
+static void drain(const process_t *);
+static void *exit_on_second_signal(void *);
 
 void
 process_init(void)
 {
 	web_block_signals();
-	/* Or the first objects of two threads would seed the hash at once. */
+	/* Otherwise two threads could seed the hash tables concurrently. */
 	json_object_seed(1);
 }
 
@@ -64,7 +64,7 @@
 }
 
 void
-process_make_boot(char boot[PROCESS_BOOT_SIZE])
+process_make_boot_id(char boot[PROCESS_BOOT_SIZE])
 {
 	uint64_t drawn = 0;
 
@@ -79,7 +79,7 @@
 	const process_addresses_t *addresses = process->addresses;
 	web_server_t *control = NULL;
 	web_server_t *data = NULL;
-	pthread_t ender;
+	pthread_t exit_thread;
 	bool served = false;
 
 	data = start_listening(addresses->listen, process->serve, process->ctx);
@@ -91,9 +91,10 @@
 		goto out_data;
 	announce(addresses->listen, data, control);
 	web_wait_for_signal();
-	if (pthread_create(&ender, NULL, end_at_once, NULL) == 0)
-		pthread_detach(ender);
-	leave(process);
+	if (pthread_create(&exit_thread, NULL, exit_on_second_signal, NULL) ==
+	    0)
+		pthread_detach(exit_thread);
+	drain(process);
 	served = true;
 	web_stop(control);
 out_data:
@@ -103,16 +104,16 @@
 }
 
 bool
-process_draw_share(process_draw_t *draw, double share)
+process_random_bool(process_random_t *sequence, double probability)
 {
 	uint64_t drawn;
 
-	if (share <= 0)
+	if (probability <= 0)
 		return false;
-	draw->draws++;
-	drawn =
-	    XXH3_64bits_withSeed(&draw->draws, sizeof(draw->draws), draw->seed);
-	return (double)(drawn % DRAW_RANGE) < share * DRAW_RANGE;
+	sequence->draws++;
+	drawn = XXH3_64bits_withSeed(
+	    &sequence->draws, sizeof(sequence->draws), sequence->seed);
+	return (double)(drawn % RANDOM_RANGE) < probability * RANDOM_RANGE;
 }
 
 static web_server_t *
@@ -135,9 +136,9 @@
 	g_free(ip);
 }
 
-/* Refuses new work and returns once what was accepted is answered. */
+/* Refuses new work and returns once all accepted work is answered. */
 static void
-leave(const process_t *process)
+drain(const process_t *process)
 {
 	bool idle = false;
 
@@ -153,7 +154,7 @@
 }
 
 static void *
-end_at_once(void *ctx)
+exit_on_second_signal(void *ctx)
 {
 	(void)ctx;
 	web_wait_for_signal();
--- a/standins/common/web.c
+++ b/standins/common/web.c
@@ -22,12 +22,15 @@
 
 #include "web.h"
 
-/* Four times the largest object, so that its limit is the handler's. */
+/*
+ * Bytes of a request body. Four times the largest object, so that the handler
+ * can enforce the object limit itself.
+ */
 #define BODY_MAX (4U * 1024 * 1024)
-#define BODY_FIRST 4096U
+#define BODY_INITIAL_SIZE 4096U
 #define BACKLOG 512
 #define CONNECTIONS_MAX 4096U
-/* Room for request headers with a key of 512 escaped bytes. */
+/* Bytes per connection; enough for headers with a key of 512 escaped bytes. */
 #define CONNECTION_MEMORY (64U * 1024)
 #define THREAD_STACK (512U * 1024)
 #define STREAM_BLOCK (16U * 1024)
@@ -40,8 +43,8 @@
 	uint16_t port;
 	atomic_bool stopping;
 	pthread_mutex_t lock;
-	pthread_cond_t idle; /* signalled when open falls to zero */
-	unsigned open; /* answers begun and not completed */
+	pthread_cond_t idle; /* signalled when open drops to zero */
+	unsigned open; /* responses started but not completed */
 };
 
 /* One HTTP exchange, from its first header to its last byte. */
@@ -51,19 +54,19 @@
 	web_request_t request;
 	char *body;
 	size_t size;
-	size_t room;
+	size_t capacity;
 	bool too_large;
 	bool open; /* counted in server->open */
 } web_call_t;
 
-/* A streamed answer's producer with what it needs. */
+/* The producer of a streamed answer, and its context. */
 typedef struct {
 	web_call_t *call;
 	web_producer_t producer;
 	void *ctx;
 	void (*free_ctx)(void *);
-	web_stream_t next; /* what the producer said with its last bytes */
-} web_stream_state_t;
+	web_stream_status_t status; /* returned by the last producer call */
+} web_stream_context_t;
 
 static bool parse_address(const char *, struct sockaddr_in *);
 static int listen_on(const struct sockaddr_in *, uint16_t *);
@@ -193,14 +196,14 @@
 web_add_header(web_answer_t *answer, const char *name, const char *value)
 {
 	size_t count = sizeof(answer->headers) / sizeof(answer->headers[0]);
-	size_t room = sizeof(answer->headers[0][0]);
+	size_t text_size = sizeof(answer->headers[0][0]);
 	size_t i;
 
 	for (i = 0; i < count; i++) {
 		if (answer->headers[i][0][0] != '\0')
 			continue;
-		snprintf(answer->headers[i][0], room, "%s", name);
-		snprintf(answer->headers[i][1], room, "%s", value);
+		snprintf(answer->headers[i][0], text_size, "%s", name);
+		snprintf(answer->headers[i][1], text_size, "%s", value);
 		return;
 	}
 }
@@ -308,9 +311,10 @@
 }
 
 /*
- * Listens with SO_REUSEADDR only: a restart gets its port back, while a second
- * process on the same port fails at once. The library's own option would set
- * SO_REUSEPORT, with which two processes silently share the connections.
+ * Listens with SO_REUSEADDR only: a restarted process can bind its port again,
+ * while a second process on the same port fails immediately. The option of
+ * libmicrohttpd would set SO_REUSEPORT, with which two processes silently share
+ * the connections.
  * Accepted sockets inherit TCP_NODELAY.
  */
 static int
@@ -375,13 +379,13 @@
 
 static void
 on_completed(void *ctx, struct MHD_Connection *connection, void **state,
-    enum MHD_RequestTerminationCode why)
+    enum MHD_RequestTerminationCode reason)
 {
 	web_call_t *call = *state;
 
 	(void)ctx;
 	(void)connection;
-	(void)why;
+	(void)reason;
 	if (call == NULL)
 		return;
 	call_set_open(call, false);
@@ -408,29 +412,29 @@
 }
 
 /*
- * Adds a piece of the body; one beyond the limit is read and thrown away, so
- * that the client gets its 413 instead of a broken connection.
+ * Appends a piece of the body. Data beyond the limit is read and discarded, so
+ * that the client receives a 413 instead of a broken connection.
  */
 static bool
 call_append(web_call_t *call, const char *data, size_t size)
 {
-	size_t room = call->room;
+	size_t capacity = call->capacity;
 	char *grown;
 
 	if (call->too_large || size > BODY_MAX - call->size) {
 		call->too_large = true;
 		return true;
 	}
-	if (room == 0)
-		room = BODY_FIRST;
-	while (room < call->size + size + 1)
-		room *= 2;
-	if (room != call->room) {
-		grown = realloc(call->body, room);
+	if (capacity == 0)
+		capacity = BODY_INITIAL_SIZE;
+	while (capacity < call->size + size + 1)
+		capacity *= 2;
+	if (capacity != call->capacity) {
+		grown = realloc(call->body, capacity);
 		if (grown == NULL)
 			return false;
 		call->body = grown;
-		call->room = room;
+		call->capacity = capacity;
 	}
 	memcpy(call->body + call->size, data, size);
 	call->size += size;
@@ -514,7 +518,7 @@
 static struct MHD_Response *
 answer_stream(web_call_t *call, web_answer_t *answer)
 {
-	web_stream_state_t *stream = calloc(1, sizeof(*stream));
+	web_stream_context_t *stream = calloc(1, sizeof(*stream));
 	struct MHD_Response *response = NULL;
 
 	if (stream != NULL) {
@@ -535,28 +539,28 @@
 }
 
 /*
- * Calls the producer until it has bytes: the library would spin on an empty
- * piece. A client that hung up in the meantime ends the stream, or a producer
- * with nothing to say would hold its thread for ever.
+ * Calls the producer until it returns bytes, as libmicrohttpd would busy-loop
+ * on empty pieces. Ends the stream when the client has disconnected; otherwise
+ * a producer without output would block its thread forever.
  */
 static ssize_t
-stream_read(void *ctx, uint64_t position, char *buffer, size_t room)
+stream_read(void *ctx, uint64_t position, char *buffer, size_t capacity)
 {
-	web_stream_state_t *stream = ctx;
+	web_stream_context_t *stream = ctx;
 	size_t size = 0;
 
 	(void)position;
-	while (stream->next == WEB_STREAM_MORE) {
-		stream->next =
-		    stream->producer(stream->ctx, buffer, room, &size);
+	while (stream->status == WEB_STREAM_MORE) {
+		stream->status =
+		    stream->producer(stream->ctx, buffer, capacity, &size);
 		if (size > 0)
 			return (ssize_t)size;
-		if (stream->next != WEB_STREAM_MORE)
+		if (stream->status != WEB_STREAM_MORE)
 			break;
 		if (web_is_abandoned(&stream->call->request))
 			return MHD_CONTENT_READER_END_WITH_ERROR;
 	}
-	if (stream->next == WEB_STREAM_END)
+	if (stream->status == WEB_STREAM_END)
 		return MHD_CONTENT_READER_END_OF_STREAM;
 	return MHD_CONTENT_READER_END_WITH_ERROR;
 }
@@ -564,14 +568,14 @@
 static void
 stream_free(void *ctx)
 {
-	web_stream_state_t *stream = ctx;
+	web_stream_context_t *stream = ctx;
 
 	if (stream->free_ctx != NULL)
 		stream->free_ctx(stream->ctx);
 	free(stream);
 }
 
-/* Bounded, since a client that never reads its answer would hold the stop. */
+/* Has a timeout, as a client that never reads would block web_stop(). */
 static void
 wait_idle(web_server_t *server)
 {
--- a/standins/engine/batcher.c
+++ b/standins/engine/batcher.c
@@ -8,14 +8,14 @@
 #define US_PER_S 1000000
 #define NS_PER_US 1000
 #define MS_PER_S 1000.0
-/* Tokens in a block of the cache. */
+/* Prompt tokens per cache block. */
 #define BLOCK_TOKENS (CACHE_BLOCK_BYTES / STREAM_TOKEN_BYTES)
 
-static void *ticker_run(void *);
-static void ticker_wait(engine_t *, int64_t);
+static void *step_thread_run(void *);
+static void wait_until(engine_t *, int64_t);
 static long admit(engine_t *);
 static long admit_one(engine_t *, stream_t *, int64_t);
-static int64_t step_length(const engine_t *, long);
+static int64_t step_length_us(const engine_t *, long);
 static void step(engine_t *);
 static void step_stream(engine_t *, stream_t *);
 static void refresh_load(engine_t *);
@@ -25,7 +25,8 @@
 bool
 batcher_start(engine_t *engine)
 {
-	return pthread_create(&engine->ticker, NULL, ticker_run, engine) == 0;
+	return pthread_create(
+		   &engine->step_thread, NULL, step_thread_run, engine) == 0;
 }
 
 void
@@ -35,18 +36,18 @@
 	engine->stopping = true;
 	pthread_cond_broadcast(&engine->wake);
 	pthread_mutex_unlock(&engine->lock);
-	pthread_join(engine->ticker, NULL);
+	pthread_join(engine->step_thread, NULL);
 }
 
 stream_t *
-batcher_submit(engine_t *engine, const stream_ask_t *ask)
+batcher_submit(engine_t *engine, const stream_params_t *params)
 {
 	faults_t *faults = &engine->faults;
-	stream_t *stream = stream_create(&engine->streams, ask);
+	stream_t *stream = stream_create(&engine->streams, params);
 
 	stream->fails = faults_draw_failure(faults);
-	if (ask->streaming && !stream->fails &&
-	    faults_take(&faults->truncate_next))
+	if (params->streaming && !stream->fails &&
+	    faults_consume(&faults->truncate_next))
 		stream->stop_at = stream->length / 2;
 	pthread_cond_signal(&engine->wake);
 	return stream;
@@ -65,20 +66,20 @@
 bool
 batcher_end(engine_t *engine, stream_t *stream, outcome_t outcome)
 {
-	bool ran = stream->state == STREAM_RUNNING;
+	bool was_running = stream->state == STREAM_RUNNING;
 
 	if (stream->state == STREAM_ENDED)
 		return false;
 	stream->outcome = outcome;
 	stream_move(&engine->streams, stream, STREAM_ENDED);
-	if (ran)
+	if (was_running)
 		records_end(&engine->records, stream, web_now_ms());
 	pthread_cond_broadcast(&stream->changed);
 	return true;
 }
 
 void
-batcher_end_cut(engine_t *engine)
+batcher_end_cut_clients(engine_t *engine)
 {
 	stream_table_t *table = &engine->streams;
 	struct stream_list *lists[] = {&table->waiting, &table->running};
@@ -104,41 +105,42 @@
 }
 
 static void *
-ticker_run(void *ctx)
+step_thread_run(void *ctx)
 {
 	engine_t *engine = ctx;
-	int64_t until = now_us();
-	int64_t length;
-	long uncached;
+	int64_t until_us = now_us();
+	int64_t length_us;
+	long uncached_tokens;
 
 	pthread_mutex_lock(&engine->lock);
 	while (!engine->stopping) {
 		refresh_load(engine);
-		uncached = admit(engine);
+		uncached_tokens = admit(engine);
 		if (engine->streams.running_count == 0) {
 			stream_cond_wait(&engine->wake, &engine->lock,
 			    engine->options.load_lag_ms + 1);
-			until = now_us();
+			until_us = now_us();
 			continue;
 		}
-		length = step_length(engine, uncached);
-		until += length;
-		ticker_wait(engine, until);
+		length_us = step_length_us(engine, uncached_tokens);
+		until_us += length_us;
+		wait_until(engine, until_us);
 		step(engine);
 		/*
-		 * A wake-up that comes late shortens the next step, so that
-		 * the rate holds; after a long pause nothing is made up for.
+		 * A late wake-up shortens the next step, which keeps the
+		 * average rate. After a delay of more than a step the schedule
+		 * restarts from now, without catching up.
 		 */
-		if (until + length < now_us())
-			until = now_us();
+		if (until_us + length_us < now_us())
+			until_us = now_us();
 	}
 	pthread_mutex_unlock(&engine->lock);
 	return NULL;
 }
 
-/* Sleeps until a time with the lock given up; the end cuts it short. */
+/* Sleeps until the given time with the lock released, or until stopped. */
 static void
-ticker_wait(engine_t *engine, int64_t until_us)
+wait_until(engine_t *engine, int64_t until_us)
 {
 	struct timespec until;
 
@@ -148,21 +150,21 @@
 		pthread_cond_timedwait(&engine->wake, &engine->lock, &until);
 }
 
-/* Fills the free slots; returns the prompt tokens to be worked through. */
+/* Fills the free slots; returns the uncached prompt tokens to process. */
 static long
 admit(engine_t *engine)
 {
 	stream_table_t *table = &engine->streams;
 	int64_t now_ms = web_now_ms();
-	long uncached = 0;
+	long uncached_tokens = 0;
 
 	while (table->running_count < engine->options.slots &&
 	    !TAILQ_EMPTY(&table->waiting))
-		uncached +=
+		uncached_tokens +=
 		    admit_one(engine, TAILQ_FIRST(&table->waiting), now_ms);
 	if (table->running_count > engine->records.peak_running)
 		engine->records.peak_running = table->running_count;
-	return uncached;
+	return uncached_tokens;
 }
 
 static long
@@ -183,18 +185,19 @@
 	return stream->prompt_tokens - stream->cached_tokens;
 }
 
-/* Microseconds of the next step. */
+/* Length of the next step in microseconds; grows above the soft limit. */
 static int64_t
-step_length(const engine_t *engine, long uncached)
+step_length_us(const engine_t *engine, long uncached_tokens)
 {
 	const engine_options_t *options = &engine->options;
-	double over = (double)engine->streams.running_count - options->soft;
-	double length = (double)options->step_ms * US_PER_MS;
-
-	if (over > 0)
-		length *= 1 + over / options->soft;
-	length += (double)uncached * options->prefill_us;
-	return (int64_t)(length * engine->faults.slow);
+	double excess_streams =
+	    (double)engine->streams.running_count - options->soft;
+	double length_us = (double)options->step_ms * US_PER_MS;
+
+	if (excess_streams > 0)
+		length_us *= 1 + excess_streams / options->soft;
+	length_us += (double)uncached_tokens * options->prefill_us;
+	return (int64_t)(length_us * engine->faults.slow);
 }
 
 static void
@@ -224,7 +227,7 @@
 						     : OUTCOME_DONE);
 }
 
-/* The report lags: it shows the last snapshot, which is renewed seldom. */
+/* The load report is a snapshot renewed only every load_lag_ms. */
 static void
 refresh_load(engine_t *engine)
 {
--- a/standins/engine/cache.c
+++ b/standins/engine/cache.c
@@ -38,17 +38,17 @@
 cache_use(cache_t *cache, const char *prompt, int64_t now_ms)
 {
 	size_t blocks = strlen(prompt) / CACHE_BLOCK_BYTES;
-	size_t known = 0;
+	size_t hits = 0;
 	uint64_t prefix = 0;
 	size_t i;
 
 	for (i = 0; i < blocks && i < cache->capacity; i++) {
 		prefix = XXH3_64bits_withSeed(
 		    prompt + i * CACHE_BLOCK_BYTES, CACHE_BLOCK_BYTES, prefix);
-		if (use_block(cache, prefix, now_ms) && known == i)
-			known++;
+		if (use_block(cache, prefix, now_ms) && hits == i)
+			hits++;
 	}
-	return known;
+	return hits;
 }
 
 void
@@ -58,14 +58,14 @@
 	const cache_event_t *event;
 	uint64_t seq;
 
-	/* A number from before a restart: the reader starts anew. */
+	/* A sequence number from before a restart: start from the beginning. */
 	if (since > cache->last_seq)
 		since = 0;
-	if (cache->last_seq > CACHE_EVENTS_KEPT &&
-	    since < cache->last_seq - CACHE_EVENTS_KEPT)
-		since = cache->last_seq - CACHE_EVENTS_KEPT;
+	if (cache->last_seq > CACHE_EVENTS_MAX &&
+	    since < cache->last_seq - CACHE_EVENTS_MAX)
+		since = cache->last_seq - CACHE_EVENTS_MAX;
 	for (seq = since + 1; seq <= cache->last_seq; seq++) {
-		event = &cache->events[seq % CACHE_EVENTS_KEPT];
+		event = &cache->events[seq % CACHE_EVENTS_MAX];
 		if (event->at_ms + cache->event_lag_ms > now_ms)
 			break;
 		if (!event_is_lost(cache, seq))
@@ -74,7 +74,7 @@
 	*next = seq - 1;
 }
 
-/* Marks a block as the most recent, adding it if need be; true: was there. */
+/* Marks a block as most recently used; returns false if it had to be added. */
 static bool
 use_block(cache_t *cache, uint64_t prefix, int64_t now_ms)
 {
@@ -113,13 +113,13 @@
 	cache_event_t *event;
 
 	cache->last_seq++;
-	event = &cache->events[cache->last_seq % CACHE_EVENTS_KEPT];
+	event = &cache->events[cache->last_seq % CACHE_EVENTS_MAX];
 	event->prefix = prefix;
 	event->evict = evict;
 	event->at_ms = now_ms;
 }
 
-/* The same events are lost for each reader and in each run with a seed. */
+/* Which events are lost depends only on the seed, not on reader or run. */
 static bool
 event_is_lost(const cache_t *cache, uint64_t seq)
 {
--- a/standins/engine/call.c
+++ b/standins/engine/call.c
@@ -27,21 +27,21 @@
 		return chat ? "messages: an array with string contents is due"
 			    : "prompt: a string is due";
 	value = json_object_get(call->json, "max_tokens");
-	call->ask.max_tokens = MAX_TOKENS_DEFAULT;
+	call->params.max_tokens = MAX_TOKENS_DEFAULT;
 	if (value != NULL)
-		call->ask.max_tokens = (long)json_integer_value(value);
-	if (call->ask.max_tokens < 1 ||
-	    call->ask.max_tokens > CALL_TOKENS_LIMIT)
+		call->params.max_tokens = (long)json_integer_value(value);
+	if (call->params.max_tokens < 1 ||
+	    call->params.max_tokens > CALL_TOKENS_MAX)
 		return "max_tokens: a number from 1 to 1000000 is due";
 	value = json_object_get(call->json, "model");
 	call->model = g_strdup(json_string_value(value));
-	call->ask.prompt = call->prompt;
-	call->ask.chat = chat;
-	call->ask.streaming =
+	call->params.prompt = call->prompt;
+	call->params.chat = chat;
+	call->params.streaming =
 	    json_is_true(json_object_get(call->json, "stream"));
-	call->ask.batch = class != NULL && strcmp(class, "batch") == 0;
-	call->ask.request = web_header(request, "Jujube-Request");
-	call->ask.client = web_header(request, "Jujube-Client");
+	call->params.batch = class != NULL && strcmp(class, "batch") == 0;
+	call->params.request = web_header(request, "Jujube-Request");
+	call->params.client = web_header(request, "Jujube-Client");
 	return NULL;
 }
 
@@ -53,7 +53,7 @@
 	g_free(call->model);
 }
 
-/* The contents joined by newlines, or NULL when one is no string. */
+/* The contents joined by newlines; NULL if empty or one is not a string. */
 static char *
 chat_prompt(const json_t *messages)
 {
--- a/standins/engine/call.h
+++ b/standins/engine/call.h
@@ -1,6 +1,6 @@
 /**
  * @file call.h
- * @brief The body and headers of a call that asks for a completion.
+ * @brief Parses the body and headers of a completion request.
  */
 #ifndef STANDIN_ENGINE_CALL_H
 #define STANDIN_ENGINE_CALL_H
@@ -12,23 +12,23 @@
 #include "../common/web.h"
 #include "stream.h"
 
-/** Most tokens that a call may ask for. */
-#define CALL_TOKENS_LIMIT 1000000
+/** Maximum of max_tokens in a request. */
+#define CALL_TOKENS_MAX 1000000
 
-/** A parsed call, with what the ask points into. */
+/** A parsed request; params points into the other fields. */
 typedef struct {
 	json_t *json;
 	char *prompt;
 	char *model; /**< may be NULL */
-	stream_ask_t ask;
+	stream_params_t params;
 } call_t;
 
 /**
- * Reads a call, which is zeroed before; call_clear() is due in any case.
- * @return NULL, or what is wrong with the body.
+ * Parses a request into a zeroed @p call. Call call_clear() in any case.
+ * @return NULL, or the error in the body.
  */
 const char *call_parse(call_t *call, const web_request_t *request, bool chat);
-/** Frees what a call holds. */
+/** Frees the contents of a call. */
 void call_clear(call_t *call);
 
 #endif
--- a/standins/engine/completion.c
+++ b/standins/engine/completion.c
@@ -9,14 +9,14 @@
 #include "reader.h"
 
 #define REFUSE_MARK "<<refuse>>"
-/* Seconds after which a leaving engine's caller may ask again. */
-#define LEAVING_RETRY "1"
+/* Retry-After of a leaving engine, seconds. */
+#define LEAVING_RETRY_AFTER_S "1"
 #define ID_SIZE 24
 
 static void answer_streaming(reader_t *, web_answer_t *);
-static void answer_whole(reader_t *, const char *, web_answer_t *);
-static json_t *whole_json(const stream_t *, const char *);
-static json_t *whole_choice(const stream_t *);
+static void answer_buffered(reader_t *, const char *, web_answer_t *);
+static json_t *response_json(const stream_t *, const char *);
+static json_t *response_choice(const stream_t *);
 static void add_stream_headers(const stream_t *, web_answer_t *);
 static void
 check_resume(engine_t *, const stream_t *, const json_t *, web_answer_t *);
@@ -46,17 +46,17 @@
 		goto out;
 	}
 	reader = reader_create(
-	    engine, batcher_submit(engine, &call.ask), request, 0);
-	reader->breaks = faults_take(&faults->break_next);
-	if (faults_take(&faults->late_next))
+	    engine, batcher_submit(engine, &call.params), request, 0);
+	reader->breaks = faults_consume(&faults->break_next);
+	if (faults_consume(&faults->late_next))
 		reader->not_before = web_now_ms() + faults->late_ms;
 	add_stream_headers(reader->stream, answer);
 	fails = reader->stream->fails;
 	pthread_mutex_unlock(&engine->lock);
-	if (reader->breaks || (call.ask.streaming && !fails))
+	if (reader->breaks || (call.params.streaming && !fails))
 		answer_streaming(reader, answer);
 	else
-		answer_whole(reader, call.model, answer);
+		answer_buffered(reader, call.model, answer);
 out:
 	call_clear(&call);
 }
@@ -66,7 +66,7 @@
     web_answer_t *answer, uint64_t id)
 {
 	json_t *body = json_loadb(request->body, request->body_size, 0, NULL);
-	const char *name = web_header(request, "Jujube-Request");
+	const char *request_id = web_header(request, "Jujube-Request");
 	reader_t *reader = NULL;
 	stream_t *stream;
 	long from;
@@ -80,8 +80,8 @@
 			stream_release(&engine->streams, stream);
 		goto out;
 	}
-	if (name != NULL)
-		g_strlcpy(stream->request, name, STREAM_NAME_SIZE);
+	if (request_id != NULL)
+		g_strlcpy(stream->request, request_id, STREAM_NAME_SIZE);
 	if (stream->state == STREAM_ENDED && stream->generated < stream->length)
 		batcher_requeue(engine, stream);
 	add_stream_headers(stream, answer);
@@ -104,7 +104,7 @@
 	if (stream != NULL) {
 		cancelled = batcher_end(engine, stream, OUTCOME_CANCELLED);
 		if (cancelled)
-			stream_forget(&engine->streams, stream);
+			stream_remove(&engine->streams, stream);
 		stream_release(&engine->streams, stream);
 	}
 	pthread_mutex_unlock(&engine->lock);
@@ -116,7 +116,7 @@
 completion_refuse(engine_t *engine, web_answer_t *answer)
 {
 	if (engine->faults.leaving) {
-		web_add_header(answer, "Retry-After", LEAVING_RETRY);
+		web_add_header(answer, "Retry-After", LEAVING_RETRY_AFTER_S);
 		web_answer_problem(
 		    answer, 503, "leaving", "this server is leaving");
 		return true;
@@ -140,7 +140,7 @@
 }
 
 static void
-answer_whole(reader_t *reader, const char *model, web_answer_t *answer)
+answer_buffered(reader_t *reader, const char *model, web_answer_t *answer)
 {
 	engine_t *engine = reader->engine;
 	json_t *json = NULL;
@@ -148,7 +148,7 @@
 
 	pthread_mutex_lock(&engine->lock);
 	if (reader_wait_done(reader))
-		json = whole_json(reader->stream, model);
+		json = response_json(reader->stream, model);
 	outcome = reader->stream->outcome;
 	pthread_mutex_unlock(&engine->lock);
 	if (json != NULL)
@@ -162,9 +162,9 @@
 	reader_destroy(reader);
 }
 
-/* A whole answer in the widely used shape. Locked. */
+/* A non-streamed answer in the common completions format. Locked. */
 static json_t *
-whole_json(const stream_t *stream, const char *model)
+response_json(const stream_t *stream, const char *model)
 {
 	char id[ID_SIZE];
 
@@ -172,11 +172,11 @@
 	return json_pack("{s:s,s:s,s:s?,s:s?,s:[o],s:o}", "id", id, "object",
 	    stream->chat ? "chat.completion" : "text_completion", "request",
 	    stream->request[0] != '\0' ? stream->request : NULL, "model", model,
-	    "choices", whole_choice(stream), "usage", reader_usage(stream));
+	    "choices", response_choice(stream), "usage", reader_usage(stream));
 }
 
 static json_t *
-whole_choice(const stream_t *stream)
+response_choice(const stream_t *stream)
 {
 	GString *text = g_string_new(NULL);
 	const char *reason = stream_finish_reason(stream);
@@ -208,7 +208,7 @@
 	web_add_header(answer, "Jujube-Stream", id);
 }
 
-/* Answers with the reason why a resume is refused, if any. Locked. */
+/* Fills in the error answer if the resume must be refused. Locked. */
 static void
 check_resume(engine_t *engine, const stream_t *stream, const json_t *body,
     web_answer_t *answer)
@@ -222,8 +222,8 @@
 		return;
 	}
 	/*
-	 * Ids begin anew on each start: after a restart this id may be someone
-	 * else's stream, whose text would go to the wrong caller.
+	 * Ids restart from 1 on each start: after a restart this id may be the
+	 * stream of another caller, whose text must not be sent to this one.
 	 */
 	if (strcmp(boot, engine->boot) != 0) {
 		web_answer_problem(
--- a/standins/engine/completion.h
+++ b/standins/engine/completion.h
@@ -1,6 +1,6 @@
 /**
  * @file completion.h
- * @brief The calls that make, resume and cancel streams.
+ * @brief The calls that create, resume and cancel streams.
  */
 #ifndef STANDIN_ENGINE_COMPLETION_H
 #define STANDIN_ENGINE_COMPLETION_H
@@ -20,8 +20,8 @@
 /** Answers POST /v1/streams/ID/cancel. */
 void completion_cancel(engine_t *engine, web_answer_t *answer, uint64_t id);
 /**
- * Refuses new work while the engine is leaving or told to refuse. Locked.
- * @return true when the answer was filled in.
+ * Refuses new work while the `leaving` or `refuse` fault is set. Locked.
+ * @return true when it has filled in the answer.
  */
 bool completion_refuse(engine_t *engine, web_answer_t *answer);
 
--- a/standins/engine/control.c
+++ b/standins/engine/control.c
@@ -35,17 +35,17 @@
     engine_t *engine, const web_request_t *request, web_answer_t *answer)
 {
 	json_t *body = json_loadb(request->body, request->body_size, 0, NULL);
-	const char *wrong = "the body";
+	const char *invalid_field = "the body";
 
 	if (json_is_object(body)) {
 		pthread_mutex_lock(&engine->lock);
-		wrong = faults_set(&engine->faults, body);
-		batcher_end_cut(engine);
+		invalid_field = faults_set(&engine->faults, body);
+		batcher_end_cut_clients(engine);
 		pthread_mutex_unlock(&engine->lock);
 	}
-	if (wrong == NULL)
+	if (invalid_field == NULL)
 		web_answer_json(answer, 200, json_object());
 	else
-		web_answer_problem(answer, 400, "malformed", wrong);
+		web_answer_problem(answer, 400, "malformed", invalid_field);
 	json_decref(body);
 }
--- a/standins/engine/faults.c
+++ b/standins/engine/faults.c
@@ -2,7 +2,7 @@
 
 #include "faults.h"
 
-/* What a field must be. */
+/* The type of a field. */
 typedef enum {
 	FIELD_BOOL,
 	FIELD_COUNT,
@@ -10,7 +10,7 @@
 	FIELD_NAMES,
 } field_kind_t;
 
-static bool field_fits(const json_t *, field_kind_t);
+static bool field_is_valid(const json_t *, field_kind_t);
 static void set_flag(const json_t *, const char *, bool *);
 static void set_count(const json_t *, const char *, long *);
 static void set_number(const json_t *, const char *, double *);
@@ -52,7 +52,7 @@
 	size_t i;
 
 	for (i = 0; i < sizeof(fields) / sizeof(fields[0]); i++) {
-		if (!field_fits(
+		if (!field_is_valid(
 			json_object_get(json, fields[i].name), fields[i].kind))
 			return fields[i].name;
 	}
@@ -93,11 +93,11 @@
 bool
 faults_draw_failure(faults_t *faults)
 {
-	return process_draw_share(&faults->failures, faults->fail_share);
+	return process_random_bool(&faults->failures, faults->fail_share);
 }
 
 bool
-faults_take(long *count)
+faults_consume(long *count)
 {
 	if (*count <= 0)
 		return false;
@@ -105,9 +105,9 @@
 	return true;
 }
 
-/* An absent field fits. */
+/* An absent field is valid. */
 static bool
-field_fits(const json_t *value, field_kind_t kind)
+field_is_valid(const json_t *value, field_kind_t kind)
 {
 	json_t *name;
 	size_t i;
--- a/standins/engine/kv.c
+++ b/standins/engine/kv.c
@@ -70,24 +70,24 @@
 	json_decref(blob);
 }
 
-/* The stream that an export describes, resumable, or NULL. Locked. */
+/* Creates a resumable stream from an export; NULL if malformed. Locked. */
 static stream_t *
 import_stream(engine_t *engine, const json_t *blob)
 {
 	const json_t *position = json_object_get(blob, "position");
 	const json_t *max_tokens = json_object_get(blob, "max_tokens");
-	stream_ask_t ask = {0};
+	stream_params_t params = {0};
 	stream_t *stream;
 
-	ask.prompt = json_string_value(json_object_get(blob, "prompt"));
-	ask.max_tokens = (long)json_integer_value(max_tokens);
-	ask.chat = json_is_true(json_object_get(blob, "chat"));
-	if (ask.prompt == NULL || !json_is_integer(position) ||
-	    ask.max_tokens < 1 || ask.max_tokens > CALL_TOKENS_LIMIT ||
+	params.prompt = json_string_value(json_object_get(blob, "prompt"));
+	params.max_tokens = (long)json_integer_value(max_tokens);
+	params.chat = json_is_true(json_object_get(blob, "chat"));
+	if (params.prompt == NULL || !json_is_integer(position) ||
+	    params.max_tokens < 1 || params.max_tokens > CALL_TOKENS_MAX ||
 	    json_integer_value(position) < 0 ||
-	    json_integer_value(position) > ask.max_tokens)
+	    json_integer_value(position) > params.max_tokens)
 		return NULL;
-	stream = stream_create(&engine->streams, &ask);
+	stream = stream_create(&engine->streams, &params);
 	stream->generated = (long)json_integer_value(position);
 	if (stream->generated > stream->length)
 		stream->generated = stream->length;
--- a/standins/engine/kv.h
+++ b/standins/engine/kv.h
@@ -1,6 +1,6 @@
 /**
  * @file kv.h
- * @brief Export and import of a stream's cache between engines.
+ * @brief Export and import of the KV cache of a stream between engines.
  */
 #ifndef STANDIN_ENGINE_KV_H
 #define STANDIN_ENGINE_KV_H
@@ -12,7 +12,7 @@
 
 /** Answers GET /v1/streams/ID/kv. */
 void kv_export(engine_t *engine, web_answer_t *answer, uint64_t id);
-/** Answers PUT /v1/kv; the imported stream waits for its resume. */
+/** Answers PUT /v1/kv; the imported stream runs once it is resumed. */
 void
 kv_import(engine_t *engine, const web_request_t *request, web_answer_t *answer);
 
--- a/standins/engine/main.c
+++ b/standins/engine/main.c
@@ -107,7 +107,7 @@
 	const struct {
 		const char *name;
 		int value;
-		int least;
+		int min;
 	} bounds[] = {
 	    {"step-ms", options->step_ms, 1},
 	    {"soft", options->soft, 1},
@@ -121,9 +121,9 @@
 	size_t i;
 
 	for (i = 0; i < sizeof(bounds) / sizeof(bounds[0]); i++) {
-		if (bounds[i].value < bounds[i].least) {
+		if (bounds[i].value < bounds[i].min) {
 			fprintf(stderr, "--%s %d: at least %d\n",
-			    bounds[i].name, bounds[i].value, bounds[i].least);
+			    bounds[i].name, bounds[i].value, bounds[i].min);
 			return false;
 		}
 	}
@@ -150,7 +150,7 @@
 	const engine_options_t *options = &engine->options;
 	uint64_t seed = (uint64_t)options->seed;
 
-	process_make_boot(engine->boot);
+	process_make_boot_id(engine->boot);
 	pthread_mutex_init(&engine->lock, NULL);
 	stream_cond_init(&engine->wake);
 	stream_table_init(&engine->streams);
--- a/standins/engine/orders.c
+++ b/standins/engine/orders.c
@@ -2,7 +2,7 @@
 
 #include "orders.h"
 
-/* What an order asks for. */
+/* The kinds of orders. */
 typedef enum {
 	ORDER_LOAD,
 	ORDER_UNLOAD,
@@ -13,7 +13,7 @@
 static order_kind_t order_kind(const json_t *);
 static bool order_is_complete(const json_t *, order_kind_t);
 static json_t *order_target(json_t *);
-static void run(orders_t *, json_t *, order_kind_t);
+static void execute(orders_t *, json_t *, order_kind_t);
 
 void
 orders_init(orders_t *orders, const char *model, bool check_fence)
@@ -42,28 +42,30 @@
 	const char *id = json_string_value(json_object_get(order, "order_id"));
 	json_int_t fence = json_integer_value(json_object_get(order, "fence"));
 	order_kind_t kind = order_kind(order);
-	json_t *before;
+	json_t *earlier_answer;
 
 	if (!order_is_complete(order, kind)) {
 		*answer = json_pack("{s:s}", "code", "malformed_order");
 		return 400;
 	}
 	/*
-	 * An order whose answer was lost is sent again, perhaps after a newer
-	 * fence was seen: it did run, and the answer must say so.
+	 * An order whose answer was lost is sent again, possibly after an order
+	 * with a newer fence. It has been applied, so the first answer is
+	 * repeated instead of a fencing error.
 	 */
-	before = id == NULL ? NULL : json_object_get(orders->applied_by_id, id);
-	if (before != NULL) {
-		*answer = json_incref(before);
+	earlier_answer =
+	    id == NULL ? NULL : json_object_get(orders->applied_by_id, id);
+	if (earlier_answer != NULL) {
+		*answer = json_incref(earlier_answer);
 		return 200;
 	}
-	if (orders->check_fence && fence < orders->highest) {
-		*answer = json_pack("{s:I}", "fence", orders->highest);
+	if (orders->check_fence && fence < orders->highest_fence) {
+		*answer = json_pack("{s:I}", "fence", orders->highest_fence);
 		return 409;
 	}
-	if (fence > orders->highest)
-		orders->highest = fence;
-	run(orders, order, kind);
+	if (fence > orders->highest_fence)
+		orders->highest_fence = fence;
+	execute(orders, order, kind);
 	json_array_append_new(orders->applied, json_deep_copy(order));
 	*answer = json_pack("{s:b,s:I}", "applied", 1, "fence", fence);
 	if (id != NULL)
@@ -78,7 +80,7 @@
 
 	json_object_set_new(json, "loaded", json_deep_copy(orders->loaded));
 	json_object_set_new(json, "role", json_deep_copy(orders->role));
-	json_object_set_new(json, "fence", json_integer(orders->highest));
+	json_object_set_new(json, "fence", json_integer(orders->highest_fence));
 	json_object_set_new(json, "applied", json_deep_copy(orders->applied));
 	return json;
 }
@@ -114,7 +116,7 @@
 	return false;
 }
 
-/* The model, version and adapter that an order names. */
+/* The model, version and adapter named in an order. */
 static json_t *
 order_target(json_t *order)
 {
@@ -125,7 +127,7 @@
 }
 
 static void
-run(orders_t *orders, json_t *order, order_kind_t kind)
+execute(orders_t *orders, json_t *order, order_kind_t kind)
 {
 	json_t *target;
 	size_t i;
--- a/standins/engine/reader.c
+++ b/standins/engine/reader.c
@@ -6,16 +6,16 @@
 #include "batcher.h"
 #include "reader.h"
 
-/* Between looks at whether the caller hung up, milliseconds. */
-#define PROBE_MS 20
-/* Room for an event's text, its end and the usage. */
-#define EVENT_TAIL 512
+/* Interval between checks whether the caller hung up, milliseconds. */
+#define CALLER_CHECK_MS 20
+/* Maximum size of an event after its head: text, end and usage; bytes. */
+#define EVENT_TAIL_MAX 512
 #define DONE_EVENT "data: [DONE]\n\n"
 
 static bool is_current(const reader_t *);
-static bool wait_change(reader_t *);
-static bool wait_time(reader_t *);
-static web_stream_t verdict(const reader_t *);
+static bool wait_for_progress(reader_t *);
+static bool wait_until_due(reader_t *);
+static web_stream_status_t idle_status(const reader_t *);
 static size_t write_event(reader_t *, char *);
 static size_t write_usage(const stream_t *, char *, size_t);
 static char *event_head(const reader_t *);
@@ -54,34 +54,34 @@
 	g_free(reader);
 }
 
-web_stream_t
-reader_produce(void *ctx, char *buffer, size_t room, size_t *size)
+web_stream_status_t
+reader_produce(void *ctx, char *buffer, size_t capacity, size_t *size)
 {
 	reader_t *reader = ctx;
 	stream_t *stream = reader->stream;
-	size_t event = strlen(reader->head) + EVENT_TAIL;
-	web_stream_t next;
+	size_t event_max = strlen(reader->head) + EVENT_TAIL_MAX;
+	web_stream_status_t next;
 
 	*size = 0;
 	if (reader->finished)
 		return WEB_STREAM_END;
-	if (room < event)
+	if (capacity < event_max)
 		return WEB_STREAM_BREAK;
 	pthread_mutex_lock(&reader->engine->lock);
-	if (!wait_time(reader) || !wait_change(reader)) {
+	if (!wait_until_due(reader) || !wait_for_progress(reader)) {
 		next = WEB_STREAM_MORE;
 		goto out;
 	}
 	if (is_current(reader) && reader->sent == stream->length) {
-		/* Resumed behind the last token: only the end was missing. */
+		/* Resumed after the last token: only [DONE] is missing. */
 		*size = strlen(DONE_EVENT);
 		memcpy(buffer, DONE_EVENT, *size);
 		reader->finished = true;
 	}
 	while (is_current(reader) && !reader->breaks &&
-	    reader->sent < stream->generated && room - *size >= event)
+	    reader->sent < stream->generated && capacity - *size >= event_max)
 		*size += write_event(reader, buffer + *size);
-	next = *size > 0 ? WEB_STREAM_MORE : verdict(reader);
+	next = *size > 0 ? WEB_STREAM_MORE : idle_status(reader);
 out:
 	pthread_mutex_unlock(&reader->engine->lock);
 	return next;
@@ -91,7 +91,7 @@
 reader_wait_done(reader_t *reader)
 {
 	reader_wait_ended(reader);
-	while (!wait_time(reader)) {
+	while (!wait_until_due(reader)) {
 		if (web_is_abandoned(reader->caller))
 			return false;
 	}
@@ -107,7 +107,7 @@
 		if (web_is_abandoned(reader->caller))
 			return;
 		stream_cond_wait(
-		    &stream->changed, &reader->engine->lock, PROBE_MS);
+		    &stream->changed, &reader->engine->lock, CALLER_CHECK_MS);
 	}
 }
 
@@ -128,18 +128,18 @@
 }
 
 /*
- * Waits a little for something to write or for the end; false when neither
- * came, so that the server looks whether the caller is still there.
+ * Waits up to CALLER_CHECK_MS for new tokens or the end of the stream. Returns
+ * false on timeout, so that the server checks whether the caller hung up.
  */
 static bool
-wait_change(reader_t *reader)
+wait_for_progress(reader_t *reader)
 {
 	stream_t *stream = reader->stream;
 
 	if (is_current(reader) && stream->state != STREAM_ENDED &&
 	    (reader->sent >= stream->generated || reader->breaks))
 		stream_cond_wait(
-		    &stream->changed, &reader->engine->lock, PROBE_MS);
+		    &stream->changed, &reader->engine->lock, CALLER_CHECK_MS);
 	if (!is_current(reader) || stream->state == STREAM_ENDED)
 		return true;
 	if (reader->breaks)
@@ -147,9 +147,9 @@
 	return reader->sent < stream->generated;
 }
 
-/* Waits a little for the time of a late answer; false when it has not come. */
+/* Waits up to CALLER_CHECK_MS for not_before; false when it is not reached. */
 static bool
-wait_time(reader_t *reader)
+wait_until_due(reader_t *reader)
 {
 	engine_t *engine = reader->engine;
 	int64_t left_ms = reader->not_before - web_now_ms();
@@ -157,30 +157,30 @@
 	if (left_ms <= 0)
 		return true;
 	pthread_mutex_unlock(&engine->lock);
-	web_sleep_ms(left_ms < PROBE_MS ? left_ms : PROBE_MS);
+	web_sleep_ms(left_ms < CALLER_CHECK_MS ? left_ms : CALLER_CHECK_MS);
 	pthread_mutex_lock(&engine->lock);
 	return reader->not_before <= web_now_ms();
 }
 
-/* How an answer goes on that has nothing more to write by now. */
-static web_stream_t
-verdict(const reader_t *reader)
+/* The status of an answer that has nothing to write at present. */
+static web_stream_status_t
+idle_status(const reader_t *reader)
 {
 	const stream_t *stream = reader->stream;
 
 	if (!is_current(reader) || reader->breaks ||
 	    stream->outcome == OUTCOME_GONE)
 		return WEB_STREAM_BREAK;
-	/* Cancelled or cut short: ends cleanly, without [DONE]. */
+	/* Cancelled or truncated: ends normally, but without [DONE]. */
 	return stream->state == STREAM_ENDED ? WEB_STREAM_END : WEB_STREAM_MORE;
 }
 
-/* Writes one token's event; after the last one the end of the answer. */
+/* Writes the event of one token; after the last token also [DONE]. */
 static size_t
 write_event(reader_t *reader, char *buffer)
 {
 	const stream_t *stream = reader->stream;
-	size_t limit = strlen(reader->head) + EVENT_TAIL;
+	size_t limit = strlen(reader->head) + EVENT_TAIL_MAX;
 	bool last = reader->sent + 1 == stream->length;
 	char text[STREAM_TEXT_SIZE];
 	size_t size;
@@ -205,18 +205,18 @@
 }
 
 static size_t
-write_usage(const stream_t *stream, char *buffer, size_t room)
+write_usage(const stream_t *stream, char *buffer, size_t capacity)
 {
 	json_t *usage = reader_usage(stream);
 	char *text = json_dumps(usage, JSON_COMPACT);
-	size_t size = (size_t)snprintf(buffer, room, ",\"usage\":%s", text);
+	size_t size = (size_t)snprintf(buffer, capacity, ",\"usage\":%s", text);
 
 	free(text);
 	json_decref(usage);
 	return size;
 }
 
-/* What the events of one answer have in common, up to the token's text. */
+/* The common beginning of all events of an answer, up to the token's text. */
 static char *
 event_head(const reader_t *reader)
 {
--- a/standins/engine/records.h
+++ b/standins/engine/records.h
@@ -1,6 +1,6 @@
 /**
  * @file records.h
- * @brief What the engine ran, in order of admission, for tests to read.
+ * @brief Records of the admitted streams in order, which tests can read.
  */
 #ifndef STANDIN_ENGINE_RECORDS_H
 #define STANDIN_ENGINE_RECORDS_H
@@ -25,7 +25,7 @@
 	long tokens;
 } record_t;
 
-/** All admissions and their sums. */
+/** All admissions and their totals. */
 typedef struct {
 	GArray *list;
 	uint64_t done;
@@ -36,13 +36,13 @@
 
 void records_init(records_t *records);
 void records_destroy(records_t *records);
-/** Notes that a stream got a slot; sets its record. Locked. */
+/** Adds a record for a stream that got a slot. Locked. */
 void records_begin(records_t *records, stream_t *stream, int64_t now_ms);
-/** Notes a running stream's outcome. Locked. */
+/** Completes the record of a running stream with its outcome. Locked. */
 void records_end(records_t *records, const stream_t *stream, int64_t now_ms);
-/** The records as GET /control/records shows them. Locked. */
+/** The records as returned by GET /control/records. Locked. */
 json_t *records_list(const records_t *records);
-/** The sums as GET /control/counts shows them. Locked. */
+/** The totals as returned by GET /control/counts. Locked. */
 json_t *records_count(const records_t *records);
 
 #endif
--- a/standins/engine/routes.c
+++ b/standins/engine/routes.c
@@ -9,11 +9,11 @@
 #include "routes.h"
 
 #define STREAMS_PATH "/v1/streams/"
-/* Longest wait for cache events, and between looks, milliseconds. */
+/* Maximum wait for cache events, and polling interval, milliseconds. */
 #define EVENTS_WAIT_MAX_MS 60000
 #define EVENTS_POLL_MS 20
 
-static bool is_call(const web_request_t *, const char *, const char *);
+static bool request_matches(const web_request_t *, const char *, const char *);
 static void serve_stream(engine_t *, const web_request_t *, web_answer_t *);
 static void serve_health(engine_t *, web_answer_t *);
 static void serve_load(engine_t *, web_answer_t *);
@@ -25,7 +25,7 @@
 routes_serve(void *ctx, const web_request_t *request, web_answer_t *answer)
 {
 	engine_t *engine = ctx;
-	const char *name = web_header(request, "Jujube-Request");
+	const char *request_id = web_header(request, "Jujube-Request");
 	bool cut;
 	bool leaving;
 
@@ -37,38 +37,39 @@
 	if (cut)
 		return;
 	web_add_header(answer, "Jujube-Boot", engine->boot);
-	if (name != NULL)
-		web_add_header(answer, "Jujube-Request", name);
+	if (request_id != NULL)
+		web_add_header(answer, "Jujube-Request", request_id);
 	if (leaving)
 		web_add_header(answer, "Jujube-Leaving", "1");
-	if (is_call(request, "POST", "/v1/completions"))
+	if (request_matches(request, "POST", "/v1/completions"))
 		completion_create(engine, request, answer, false);
-	else if (is_call(request, "POST", "/v1/chat/completions"))
+	else if (request_matches(request, "POST", "/v1/chat/completions"))
 		completion_create(engine, request, answer, true);
-	else if (is_call(request, "GET", "/health"))
+	else if (request_matches(request, "GET", "/health"))
 		serve_health(engine, answer);
-	else if (is_call(request, "GET", "/load"))
+	else if (request_matches(request, "GET", "/load"))
 		serve_load(engine, answer);
-	else if (is_call(request, "GET", "/cache/events"))
+	else if (request_matches(request, "GET", "/cache/events"))
 		serve_events(engine, request, answer);
-	else if (is_call(request, "PUT", "/v1/kv"))
+	else if (request_matches(request, "PUT", "/v1/kv"))
 		kv_import(engine, request, answer);
-	else if (is_call(request, "POST", "/orders"))
+	else if (request_matches(request, "POST", "/orders"))
 		serve_order(engine, request, answer);
-	else if (is_call(request, "GET", "/orders"))
+	else if (request_matches(request, "GET", "/orders"))
 		serve_orders(engine, answer);
 	else
 		serve_stream(engine, request, answer);
 }
 
 static bool
-is_call(const web_request_t *request, const char *method, const char *path)
+request_matches(
+    const web_request_t *request, const char *method, const char *path)
 {
 	return strcmp(request->method, method) == 0 &&
 	    strcmp(request->path, path) == 0;
 }
 
-/* The calls below /v1/streams/ID/. */
+/* Serves the calls below /v1/streams/ID/. */
 static void
 serve_stream(
     engine_t *engine, const web_request_t *request, web_answer_t *answer)
--- a/standins/engine/stream.c
+++ b/standins/engine/stream.c
@@ -9,9 +9,11 @@
 
 #include "stream.h"
 
-/* A prompt that holds this ends by itself after the number of tokens. */
+/* Followed by a number in the prompt: ends the text after that many tokens. */
 #define STOP_MARK "<<stop "
+/* A stream with this in its prompt never yields a token. */
 #define HANG_MARK "<<hang>>"
+/* A stream with this in its prompt ends the process when admitted. */
 #define CRASH_MARK "<<crash>>"
 
 #define NS_PER_MS 1000000L
@@ -50,28 +52,28 @@
 }
 
 stream_t *
-stream_create(stream_table_t *table, const stream_ask_t *ask)
+stream_create(stream_table_t *table, const stream_params_t *params)
 {
 	stream_t *stream = g_new0(stream_t, 1);
 
 	stream->id = ++table->last_id;
-	stream->prompt = g_strdup(ask->prompt);
-	stream->prompt_hash = stream_hash(ask->prompt);
-	if (ask->request != NULL)
-		g_strlcpy(stream->request, ask->request, STREAM_NAME_SIZE);
-	if (ask->client != NULL)
-		g_strlcpy(stream->client, ask->client, STREAM_NAME_SIZE);
-	stream->chat = ask->chat;
-	stream->batch = ask->batch;
-	stream->hangs = strstr(ask->prompt, HANG_MARK) != NULL;
-	stream->crashes = strstr(ask->prompt, CRASH_MARK) != NULL;
+	stream->prompt = g_strdup(params->prompt);
+	stream->prompt_hash = stream_hash(params->prompt);
+	if (params->request != NULL)
+		g_strlcpy(stream->request, params->request, STREAM_NAME_SIZE);
+	if (params->client != NULL)
+		g_strlcpy(stream->client, params->client, STREAM_NAME_SIZE);
+	stream->chat = params->chat;
+	stream->batch = params->batch;
+	stream->hangs = strstr(params->prompt, HANG_MARK) != NULL;
+	stream->crashes = strstr(params->prompt, CRASH_MARK) != NULL;
 	stream->prompt_tokens =
-	    (long)((strlen(ask->prompt) + STREAM_TOKEN_BYTES - 1) /
+	    (long)((strlen(params->prompt) + STREAM_TOKEN_BYTES - 1) /
 		STREAM_TOKEN_BYTES);
-	stream->max_tokens = ask->max_tokens;
-	stream->length = text_length(ask->prompt, ask->max_tokens);
+	stream->max_tokens = params->max_tokens;
+	stream->length = text_length(params->prompt, params->max_tokens);
 	stream->stop_at = stream->length;
-	stream->users = 1;
+	stream->references = 1;
 	stream_cond_init(&stream->changed);
 	g_hash_table_insert(table->by_id, &stream->id, stream);
 	stream->state = STREAM_WAITING;
@@ -86,15 +88,15 @@
 	stream_t *stream = g_hash_table_lookup(table->by_id, &id);
 
 	if (stream != NULL)
-		stream->users++;
+		stream->references++;
 	return stream;
 }
 
 void
 stream_release(stream_table_t *table, stream_t *stream)
 {
-	stream->users--;
-	if (stream->users == 0 &&
+	stream->references--;
+	if (stream->references == 0 &&
 	    g_hash_table_lookup(table->by_id, &stream->id) != stream)
 		stream_free(stream);
 }
@@ -119,18 +121,18 @@
 		TAILQ_INSERT_TAIL(&table->ended, stream, entry);
 		table->ended_count++;
 		oldest = TAILQ_FIRST(&table->ended);
-		if (table->ended_count > STREAM_KEPT)
-			stream_forget(table, oldest);
+		if (table->ended_count > STREAM_ENDED_MAX)
+			stream_remove(table, oldest);
 		break;
 	}
 }
 
 void
-stream_forget(stream_table_t *table, stream_t *stream)
+stream_remove(stream_table_t *table, stream_t *stream)
 {
 	list_remove(table, stream);
 	g_hash_table_remove(table->by_id, &stream->id);
-	if (stream->users == 0)
+	if (stream->references == 0)
 		stream_free(stream);
 }
 
@@ -193,7 +195,7 @@
 	return pthread_cond_timedwait(cond, lock, &until) != ETIMEDOUT;
 }
 
-/* Tokens of the whole text: max_tokens, or less when the prompt says so. */
+/* Tokens of the whole text: max_tokens, or fewer if set by STOP_MARK. */
 static long
 text_length(const char *prompt, long max_tokens)
 {
--- a/standins/engine/stream.h
+++ b/standins/engine/stream.h
@@ -1,9 +1,9 @@
 /**
  * @file stream.h
- * @brief Streams of tokens and the table that finds them by id.
+ * @brief Token streams and the table that indexes them by id.
  *
- * Ids count up from 1 on each start, so that a stream of an earlier boot and
- * one of this boot bear the same id, as callers must expect of an engine.
+ * Ids count up from 1 on each start, so that an id may be reused after a
+ * restart, as callers must expect of a real engine.
  */
 #ifndef STANDIN_ENGINE_STREAM_H
 #define STANDIN_ENGINE_STREAM_H
@@ -18,14 +18,14 @@
 
 /** Bytes of prompt that make one token. */
 #define STREAM_TOKEN_BYTES 4
-/** Ended streams that can still be resumed; the oldest are forgotten. */
-#define STREAM_KEPT 1024
-/** Longest identity taken from a header, with the NUL. */
+/** Ended streams kept for a resume; the oldest are removed. */
+#define STREAM_ENDED_MAX 1024
+/** Maximum size of an id taken from a header, in bytes with the NUL. */
 #define STREAM_NAME_SIZE 128
-/** Longest token text, with the NUL. */
+/** Maximum size of a token text, in bytes with the NUL. */
 #define STREAM_TEXT_SIZE 40
 
-/** Where a stream is. */
+/** The state of a stream. */
 typedef enum {
 	STREAM_WAITING, /**< in the queue for a slot */
 	STREAM_RUNNING, /**< has a slot */
@@ -41,7 +41,7 @@
 	OUTCOME_FAILED, /**< by an injected fault */
 } outcome_t;
 
-/** What a caller asks for. */
+/** The parameters of a completion request. */
 typedef struct {
 	const char *prompt;
 	const char *request; /**< may be NULL */
@@ -50,7 +50,7 @@
 	bool chat;
 	bool batch;
 	bool streaming;
-} stream_ask_t;
+} stream_params_t;
 
 /** One stream. */
 typedef struct stream {
@@ -64,19 +64,19 @@
 	bool batch;
 	bool hangs; /**< never yields a token */
 	bool crashes; /**< ends the process when admitted */
-	bool fails; /**< answered 500 when admitted */
+	bool fails; /**< fails with 500 when admitted */
 	long prompt_tokens;
 	long cached_tokens;
 	long max_tokens;
 	long length; /**< tokens of the whole text */
-	long stop_at; /**< less than length when it is to be truncated */
+	long stop_at; /**< below length if to be truncated */
 	long generated; /**< tokens so far */
 	stream_state_t state;
 	outcome_t outcome;
-	size_t record; /**< index of its record while it runs */
-	unsigned users; /**< threads that hold a pointer to it */
-	uint64_t reader; /**< number of the answer that it belongs to */
-	pthread_cond_t changed;
+	size_t record; /**< index in the records while running */
+	unsigned references; /**< references held by threads */
+	uint64_t reader; /**< number of its current reader */
+	pthread_cond_t changed; /**< new token, state or reader */
 } stream_t;
 
 TAILQ_HEAD(stream_list, stream);
@@ -96,29 +96,29 @@
 
 void stream_table_init(stream_table_t *table);
 void stream_table_destroy(stream_table_t *table);
-/** Makes a stream at the end of the queue, with one user. Locked. */
-stream_t *stream_create(stream_table_t *table, const stream_ask_t *ask);
-/** The stream with that id or NULL; adds a user. Locked. */
+/** Creates a stream with one reference at the end of the queue. Locked. */
+stream_t *stream_create(stream_table_t *table, const stream_params_t *params);
+/** The stream with that id, with a new reference, or NULL. Locked. */
 stream_t *stream_acquire(stream_table_t *table, uint64_t id);
-/** Gives up a pointer; frees the stream when it was forgotten. Locked. */
+/** Releases a reference; the last one of a removed stream frees it. Locked. */
 void stream_release(stream_table_t *table, stream_t *stream);
 /** Moves a stream to the end of the list of @p state. Locked. */
 void stream_move(stream_table_t *table, stream_t *stream, stream_state_t state);
-/** Takes an ended stream out of the table; its users keep it. Locked. */
-void stream_forget(stream_table_t *table, stream_t *stream);
+/** Removes an ended stream from the table; references stay valid. Locked. */
+void stream_remove(stream_table_t *table, stream_t *stream);
 
 /** Writes the text of token @p index; returns its bytes. */
 int
 stream_token(const stream_t *stream, long index, char text[STREAM_TEXT_SIZE]);
-/** "stop" when the text ended by itself, "length" at max_tokens. */
+/** "stop" when the text ends before max_tokens, otherwise "length". */
 const char *stream_finish_reason(const stream_t *stream);
-/** The outcome in words. */
+/** The name of an outcome, as in the records. */
 const char *stream_outcome_name(outcome_t outcome);
 /** Low 32 bits of XXH3-64 of a prompt. */
 uint32_t stream_hash(const char *prompt);
-/** A condition variable on the monotonic clock. */
+/** Initializes a condition variable that uses the monotonic clock. */
 void stream_cond_init(pthread_cond_t *cond);
-/** Waits up to @p ms; false when the time was up. */
+/** Waits up to @p ms milliseconds; false on timeout. */
 bool stream_cond_wait(pthread_cond_t *cond, pthread_mutex_t *lock, int64_t ms);
 
 #endif
--- a/standins/platform/blob.c
+++ b/standins/platform/blob.c
@@ -14,7 +14,7 @@
 {
 	blob_t *blob = g_malloc(sizeof(*blob) + size);
 
-	atomic_init(&blob->holders, 1);
+	atomic_init(&blob->references, 1);
 	blob->size = size;
 	if (size > 0)
 		memcpy(blob->data, data, size);
@@ -22,9 +22,9 @@
 }
 
 blob_t *
-blob_hold(blob_t *blob)
+blob_acquire(blob_t *blob)
 {
-	atomic_fetch_add(&blob->holders, 1);
+	atomic_fetch_add(&blob->references, 1);
 	return blob;
 }
 
@@ -33,6 +33,6 @@
 {
 	if (blob == NULL)
 		return;
-	if (atomic_fetch_sub(&blob->holders, 1) == 1)
+	if (atomic_fetch_sub(&blob->references, 1) == 1)
 		g_free(blob);
 }
--- a/standins/platform/control.c
+++ b/standins/platform/control.c
@@ -7,7 +7,7 @@
 
 #include "routes.h"
 
-#define WHY_SIZE 160
+#define REASON_SIZE 160
 
 typedef struct {
 	const char *method;
@@ -54,20 +54,21 @@
     platform_t *platform, const web_request_t *request, web_answer_t *answer)
 {
 	json_t *change = json_loads(request->body, 0, NULL);
-	fault_orders_t orders;
-	char why[WHY_SIZE];
+	fault_actions_t actions;
+	char reason[REASON_SIZE];
 	bool valid;
 
-	valid = fault_set(platform->faults, change, &orders, why, sizeof(why));
+	valid = fault_set(
+	    platform->faults, change, &actions, reason, sizeof(reason));
 	json_decref(change);
 	if (!valid) {
-		web_answer_problem(answer, 400, "bad-fault", why);
+		web_answer_problem(answer, 400, "bad-fault", reason);
 		return;
 	}
-	if (orders.watch_gap)
-		store_forget_history(platform->store);
-	if (orders.watch_drop >= 0)
-		store_drop_events(platform->store, orders.watch_drop);
+	if (actions.watch_gap)
+		store_clear_history(platform->store);
+	if (actions.watch_drop >= 0)
+		store_drop_events(platform->store, actions.watch_drop);
 	answer->status = 204;
 }
 
@@ -77,16 +78,16 @@
 {
 	int64_t visible_ms = web_now_ms() + fault_vms_lag_ms(platform->faults);
 	json_t *document = json_loads(request->body, 0, NULL);
-	char why[WHY_SIZE];
+	char reason[REASON_SIZE];
 	bool valid;
 
-	valid =
-	    vms_replace(platform->vms, document, visible_ms, why, sizeof(why));
+	valid = vms_replace(
+	    platform->vms, document, visible_ms, reason, sizeof(reason));
 	json_decref(document);
 	if (valid)
 		answer->status = 204;
 	else
-		web_answer_problem(answer, 400, "bad-vms", why);
+		web_answer_problem(answer, 400, "bad-vms", reason);
 }
 
 static void
--- a/standins/platform/counts.c
+++ b/standins/platform/counts.c
@@ -1,6 +1,6 @@
 /**
  * @file counts.c
- * @brief Counters by kind and first part of the key; see counts.h.
+ * @brief Call counters by kind and first segment of the key; see counts.h.
  */
 #include <pthread.h>
 #include <string.h>
@@ -9,11 +9,11 @@
 
 #include "counts.h"
 
-/* Kinds that concern keys come first in count_kind_t. */
+/* The kinds with a key come first in count_kind_t. */
 #define KEY_KINDS (COUNT_WATCH + 1)
 
 typedef struct {
-	json_int_t of[COUNT_KINDS];
+	json_int_t calls[COUNT_KINDS];
 } tally_t;
 
 struct counts {
@@ -51,9 +51,9 @@
 count_add(counts_t *counts, count_kind_t kind, const char *key)
 {
 	pthread_mutex_lock(&counts->lock);
-	counts->total.of[kind]++;
+	counts->total.calls[kind]++;
 	if (key != NULL)
-		prefix_tally(counts, key)->of[kind]++;
+		prefix_tally(counts, key)->calls[kind]++;
 	pthread_mutex_unlock(&counts->lock);
 }
 
@@ -86,7 +86,7 @@
 	return dump;
 }
 
-/* Keys without a slash share the empty prefix, which bounds the table. */
+/* Keys without a slash share the empty prefix, which limits the table. */
 static tally_t *
 prefix_tally(counts_t *counts, const char *key)
 {
@@ -112,6 +112,6 @@
 
 	for (kind = 0; kind < kinds; kind++)
 		json_object_set_new(
-		    dump, kind_names[kind], json_integer(tally->of[kind]));
+		    dump, kind_names[kind], json_integer(tally->calls[kind]));
 	return dump;
 }
--- a/standins/platform/counts.h
+++ b/standins/platform/counts.h
@@ -1,6 +1,6 @@
 /**
  * @file counts.h
- * @brief How often each kind of call was made.
+ * @brief Counts the calls by kind.
  */
 #ifndef STANDIN_COUNTS_H
 #define STANDIN_COUNTS_H
--- a/standins/platform/faults.c
+++ b/standins/platform/faults.c
@@ -1,6 +1,6 @@
 /**
  * @file faults.c
- * @brief Ordered faults, one mutex; see faults.h.
+ * @brief The faults set by tests, under one mutex; see faults.h.
  */
 #include <pthread.h>
 #include <stdio.h>
@@ -10,30 +10,31 @@
 
 #include "faults.h"
 
-/* An hour; a longer delay is a hang. */
-#define MS_MAX 3600000
+/* One hour, milliseconds; a longer delay amounts to a hang. */
+#define DELAY_MAX_MS 3600000
 #define COUNT_MAX 1000000000
 
 typedef struct {
-	fault_gate_t outage;
+	fault_treatment_t outage;
 	fault_vms_t vms_outage;
 	int64_t delay_ms;
 	int64_t vms_lag_ms;
 	int64_t lose_answers;
-	const json_t *lose_prefix; /* borrowed while a change is read */
-	const json_t *cut; /* likewise */
-} values_t;
+	const json_t *lose_prefix; /* borrowed while a change is parsed */
+	const json_t *cut; /* borrowed while a change is parsed */
+} fault_values_t;
 
 struct faults {
 	pthread_mutex_t lock;
-	values_t now;
+	fault_values_t current;
 	char *lose_prefix;
 	GHashTable *cut; /* set of client names */
 };
 
-static bool read_change(json_t *, values_t *, fault_orders_t *, const char **);
 static bool
-read_field(const char *, const json_t *, values_t *, fault_orders_t *);
+read_change(json_t *, fault_values_t *, fault_actions_t *, const char **);
+static bool
+read_field(const char *, const json_t *, fault_values_t *, fault_actions_t *);
 static bool read_choice(const json_t *, const char *const *, int *);
 static bool read_number(const json_t *, int64_t, int64_t *);
 static bool is_string_array(const json_t *);
@@ -61,18 +62,18 @@
 }
 
 bool
-fault_set(faults_t *faults, json_t *change, fault_orders_t *orders, char *why,
-    size_t why_size)
+fault_set(faults_t *faults, json_t *change, fault_actions_t *actions,
+    char *reason, size_t reason_size)
 {
 	const char *field = "body";
-	values_t next;
+	fault_values_t next;
 	bool valid;
 
-	orders->watch_gap = false;
-	orders->watch_drop = -1;
+	actions->watch_gap = false;
+	actions->watch_drop = -1;
 	pthread_mutex_lock(&faults->lock);
-	next = faults->now;
-	valid = read_change(change, &next, orders, &field);
+	next = faults->current;
+	valid = read_change(change, &next, actions, &field);
 	if (valid) {
 		if (next.lose_prefix != NULL) {
 			g_free(faults->lose_prefix);
@@ -83,26 +84,26 @@
 			replace_cut(faults, next.cut);
 		next.lose_prefix = NULL;
 		next.cut = NULL;
-		faults->now = next;
+		faults->current = next;
 	}
 	pthread_mutex_unlock(&faults->lock);
 	if (!valid)
-		snprintf(
-		    why, why_size, "%s: unknown field or bad value", field);
+		snprintf(reason, reason_size, "%s: unknown field or bad value",
+		    field);
 	return valid;
 }
 
-fault_gate_t
-fault_gate(faults_t *faults, const char *client)
+fault_treatment_t
+fault_treatment(faults_t *faults, const char *client)
 {
-	fault_gate_t gate;
+	fault_treatment_t treatment;
 
 	pthread_mutex_lock(&faults->lock);
-	gate = faults->now.outage;
+	treatment = faults->current.outage;
 	if (g_hash_table_contains(faults->cut, client))
-		gate = FAULT_CUT;
+		treatment = FAULT_CUT;
 	pthread_mutex_unlock(&faults->lock);
-	return gate;
+	return treatment;
 }
 
 int64_t
@@ -111,7 +112,7 @@
 	int64_t delay_ms;
 
 	pthread_mutex_lock(&faults->lock);
-	delay_ms = faults->now.delay_ms;
+	delay_ms = faults->current.delay_ms;
 	pthread_mutex_unlock(&faults->lock);
 	return delay_ms;
 }
@@ -122,7 +123,7 @@
 	int64_t lag_ms;
 
 	pthread_mutex_lock(&faults->lock);
-	lag_ms = faults->now.vms_lag_ms;
+	lag_ms = faults->current.vms_lag_ms;
 	pthread_mutex_unlock(&faults->lock);
 	return lag_ms;
 }
@@ -133,28 +134,28 @@
 	fault_vms_t outage;
 
 	pthread_mutex_lock(&faults->lock);
-	outage = faults->now.vms_outage;
+	outage = faults->current.vms_outage;
 	pthread_mutex_unlock(&faults->lock);
 	return outage;
 }
 
 bool
-fault_take_lost_answer(faults_t *faults, const char *key)
+fault_consume_lost_answer(faults_t *faults, const char *key)
 {
 	bool lost;
 
 	pthread_mutex_lock(&faults->lock);
-	lost = faults->now.lose_answers > 0 &&
+	lost = faults->current.lose_answers > 0 &&
 	    g_str_has_prefix(key, faults->lose_prefix);
 	if (lost)
-		faults->now.lose_answers--;
+		faults->current.lose_answers--;
 	pthread_mutex_unlock(&faults->lock);
 	return lost;
 }
 
 static bool
-read_change(
-    json_t *change, values_t *next, fault_orders_t *orders, const char **field)
+read_change(json_t *change, fault_values_t *next, fault_actions_t *actions,
+    const char **field)
 {
 	const char *name;
 	json_t *value;
@@ -164,15 +165,15 @@
 	json_object_foreach(change, name, value)
 	{
 		*field = name;
-		if (!read_field(name, value, next, orders))
+		if (!read_field(name, value, next, actions))
 			return false;
 	}
 	return true;
 }
 
 static bool
-read_field(const char *name, const json_t *value, values_t *next,
-    fault_orders_t *orders)
+read_field(const char *name, const json_t *value, fault_values_t *next,
+    fault_actions_t *actions)
 {
 	static const char *const outages[] = {"none", "refuse", "hang", NULL};
 	static const char *const vms[] = {"none", "refuse", "empty", NULL};
@@ -182,14 +183,14 @@
 
 	if (strcmp(name, "outage") == 0) {
 		valid = read_choice(value, outages, &choice);
-		next->outage = (fault_gate_t)choice;
+		next->outage = (fault_treatment_t)choice;
 	} else if (strcmp(name, "vms_outage") == 0) {
 		valid = read_choice(value, vms, &choice);
 		next->vms_outage = (fault_vms_t)choice;
 	} else if (strcmp(name, "delay_ms") == 0) {
-		valid = read_number(value, MS_MAX, &next->delay_ms);
+		valid = read_number(value, DELAY_MAX_MS, &next->delay_ms);
 	} else if (strcmp(name, "vms_lag_ms") == 0) {
-		valid = read_number(value, MS_MAX, &next->vms_lag_ms);
+		valid = read_number(value, DELAY_MAX_MS, &next->vms_lag_ms);
 	} else if (strcmp(name, "lose_answers") == 0) {
 		valid = read_number(value, COUNT_MAX, &next->lose_answers);
 	} else if (strcmp(name, "lose_answers_prefix") == 0) {
@@ -200,10 +201,10 @@
 		next->cut = value;
 	} else if (strcmp(name, "watch_gap") == 0) {
 		valid = json_is_boolean(value);
-		orders->watch_gap = json_is_true(value);
+		actions->watch_gap = json_is_true(value);
 	} else if (strcmp(name, "watch_drop") == 0) {
 		valid = read_number(value, COUNT_MAX, &number);
-		orders->watch_drop = (long)number;
+		actions->watch_drop = (long)number;
 	}
 	return valid;
 }
@@ -224,10 +225,10 @@
 }
 
 static bool
-read_number(const json_t *value, int64_t most, int64_t *number)
+read_number(const json_t *value, int64_t max, int64_t *number)
 {
 	*number = json_integer_value(value);
-	return json_is_integer(value) && *number >= 0 && *number <= most;
+	return json_is_integer(value) && *number >= 0 && *number <= max;
 }
 
 static bool
--- a/standins/platform/journal.c
+++ b/standins/platform/journal.c
@@ -1,6 +1,6 @@
 /**
  * @file journal.c
- * @brief The order of effective writes; see journal.h.
+ * @brief The log of effective writes; see journal.h.
  */
 #include <string.h>
 
@@ -37,7 +37,7 @@
 	entry->revision = revision;
 	entry->key = g_strdup(key);
 	entry->client = g_strdup(client);
-	entry->value = value != NULL ? blob_hold(value) : NULL;
+	entry->value = value != NULL ? blob_acquire(value) : NULL;
 	TAILQ_INSERT_TAIL(&journal->entries, entry, link);
 	journal->bytes += entry_bytes(entry);
 	while (journal->bytes > journal->limit)
--- a/standins/platform/journal.h
+++ b/standins/platform/journal.h
@@ -1,8 +1,8 @@
 /**
  * @file journal.h
- * @brief Every effective write in order, for the tests' oracles.
+ * @brief A log of every effective write in order, for the checks of tests.
  *
- * Not locked: the store calls it under its own mutex.
+ * Has no lock of its own: the store calls it with its mutex held.
  */
 #ifndef STANDIN_JOURNAL_H
 #define STANDIN_JOURNAL_H
@@ -27,14 +27,14 @@
 
 typedef struct {
 	TAILQ_HEAD(journal_list, journal_entry) entries;
-	size_t bytes; /**< of keys and values kept */
-	size_t limit; /**< bytes; the oldest entries go first */
-	uint64_t dropped; /**< entries that went */
+	size_t bytes; /**< size of the entries kept */
+	size_t limit; /**< maximum of bytes; the oldest entries are dropped */
+	uint64_t dropped; /**< number of entries dropped */
 } journal_t;
 
 void journal_create(journal_t *journal, size_t limit);
 void journal_destroy(journal_t *journal);
-/** Adds a write; holds @p value, NULL for a delete. */
+/** Adds a write; takes a reference to @p value, NULL for a delete. */
 void journal_append(journal_t *journal, uint64_t revision, const char *key,
     const char *client, blob_t *value);
 /** The kept writes below @p prefix, oldest first. */
--- a/standins/platform/main.c
+++ b/standins/platform/main.c
@@ -1,6 +1,6 @@
 /**
  * @file main.c
- * @brief standin-platform: the platform's interface for tests, in memory.
+ * @brief standin-platform: an in-memory stand-in for the platform, for tests.
  */
 #include <err.h>
 #include <stdlib.h>
@@ -10,7 +10,7 @@
 
 #include "routes.h"
 
-#define WHY_SIZE 160
+#define REASON_SIZE 160
 
 typedef struct {
 	char *listen;
@@ -152,15 +152,15 @@
 static void
 load_vms(vms_t *vms, const char *file)
 {
-	char why[WHY_SIZE];
+	char reason[REASON_SIZE];
 	json_error_t error;
 	json_t *document;
 
 	document = json_load_file(file, 0, &error);
 	if (document == NULL)
 		errx(EXIT_FAILURE, "%s:%d: %s", file, error.line, error.text);
-	if (!vms_replace(vms, document, web_now_ms(), why, sizeof(why)))
-		errx(EXIT_FAILURE, "%s: %s", file, why);
+	if (!vms_replace(vms, document, web_now_ms(), reason, sizeof(reason)))
+		errx(EXIT_FAILURE, "%s: %s", file, reason);
 	json_decref(document);
 }
 
@@ -171,7 +171,7 @@
 	web_server_t *api;
 	char *ip;
 
-	/* Before any thread: jansson seeds its hash tables once. */
+	/* jansson must seed its hash tables before threads start. */
 	json_object_seed(0);
 	api = web_start(options->listen, route_api, platform);
 	if (api == NULL)
--- a/standins/platform/rates.c
+++ b/standins/platform/rates.c
@@ -42,7 +42,7 @@
 	return wait_ms;
 }
 
-/* A rate below one a second still has to hold one whole token. */
+/* With a rate below 1/s the bucket must still hold one whole token. */
 static void
 refill(rate_t *rate, int64_t now_ms)
 {
--- a/standins/platform/rates.h
+++ b/standins/platform/rates.h
@@ -1,6 +1,6 @@
 /**
  * @file rates.h
- * @brief Token buckets for writes, reads and the weight store's bytes.
+ * @brief Token buckets for writes, reads and bytes of the weight store.
  */
 #ifndef STANDIN_RATES_H
 #define STANDIN_RATES_H
@@ -8,7 +8,7 @@
 #include <pthread.h>
 #include <stdint.h>
 
-/** A bucket that holds one second of its rate. */
+/** A token bucket; its capacity is the tokens of one second, at least 1. */
 typedef struct {
 	pthread_mutex_t lock;
 	double per_second; /**< 0: no limit */
@@ -19,9 +19,9 @@
 void rate_create(rate_t *rate, double per_second, int64_t now_ms);
 void rate_destroy(rate_t *rate);
 /**
- * Takes @p amount tokens and returns 0, or returns the milliseconds after
- * which to ask again. More than one second's worth takes a full bucket and
- * leaves it in debt.
+ * Takes @p amount tokens and returns 0, or returns the milliseconds to wait
+ * before a retry. An amount above the capacity requires a full bucket and
+ * leaves its level negative.
  */
 int64_t rate_take(rate_t *rate, double amount, int64_t now_ms);
 
--- a/standins/platform/routes.c
+++ b/standins/platform/routes.c
@@ -1,6 +1,6 @@
 /**
  * @file routes.c
- * @brief The platform's published interface; see routes.h.
+ * @brief The HTTP API of the platform; see routes.h.
  */
 #include <errno.h>
 #include <stdio.h>
@@ -13,8 +13,8 @@
 
 #define OBJECTS "/v1/objects/"
 #define WATCH_WAIT_MAX_MS 60000
-/* How soon a waiting call notices a fault or a client that hung up. */
-#define NOTICE_MS 20
+/* Interval between checks of a waiting call for faults and disconnects. */
+#define CHECK_INTERVAL_MS 20
 
 /* One call while it is being answered. */
 typedef struct {
@@ -23,13 +23,13 @@
 	web_answer_t *answer;
 	const char *client;
 	const char *key; /* key or prefix, NULL when neither */
-	bool lost; /* took effect, the answer gets lost */
+	bool drop_answer; /* the write took effect, but its answer is dropped */
 } call_t;
 
 typedef struct {
 	const char *method;
 	const char *path;
-	bool has_key; /* the rest of the path is a key */
+	bool has_key; /* the remainder of the path is a key */
 	bool write;
 	count_kind_t kind;
 	void (*run)(call_t *);
@@ -40,16 +40,16 @@
 static const char *route_key(const route_t *, const web_request_t *);
 static bool is_valid(const call_t *, const route_t *);
 static bool admit(call_t *, const route_t *);
-static bool pass_faults(call_t *);
+static bool passes_faults(call_t *);
 static void hang(call_t *);
 static void delay(call_t *);
-static void answer_limited(call_t *, int64_t);
+static void answer_rate_limited(call_t *, int64_t);
 static void answer_conflict(call_t *, uint64_t);
 static void answer_absent(call_t *);
 static void add_etag(call_t *, uint64_t);
 static bool read_condition(call_t *, store_write_t *);
 static bool parse_etag(const char *, uint64_t *);
-static void note_effect(call_t *);
+static void apply_lost_answer(call_t *);
 static void run_get(call_t *);
 static void run_put(call_t *);
 static void run_delete(call_t *);
@@ -80,8 +80,8 @@
 	call.client = web_header(request, "Jujube-Client");
 	if (call.client == NULL)
 		call.client = "";
-	/* A cut client's calls never arrive, so they are not counted. */
-	if (fault_gate(call.platform->faults, call.client) == FAULT_CUT)
+	/* Calls of a cut client never arrive, so they are not counted. */
+	if (fault_treatment(call.platform->faults, call.client) == FAULT_CUT)
 		return;
 	if (route == NULL) {
 		web_answer_problem(
@@ -91,7 +91,7 @@
 	call.key = route_key(route, request);
 	valid = is_valid(&call, route);
 	count_add(call.platform->counts, route->kind, valid ? call.key : NULL);
-	if (!pass_faults(&call))
+	if (!passes_faults(&call))
 		return;
 	if (!valid) {
 		web_answer_problem(answer, 400, "bad-request",
@@ -103,8 +103,8 @@
 		return;
 	route->run(&call);
 	delay(&call);
-	if (call.lost ||
-	    fault_gate(call.platform->faults, call.client) == FAULT_CUT)
+	if (call.drop_answer ||
+	    fault_treatment(call.platform->faults, call.client) == FAULT_CUT)
 		answer->status = 0;
 }
 
@@ -142,7 +142,7 @@
 	return prefix != NULL ? prefix : "";
 }
 
-/* What goes into JSON answers later has to be UTF-8. */
+/* The client and key appear in JSON answers, so they must be UTF-8. */
 static bool
 is_valid(const call_t *call, const route_t *route)
 {
@@ -153,7 +153,7 @@
 	return call->key == NULL || store_is_prefix(call->key);
 }
 
-/* False when the call is over the rate and has been answered. */
+/* Answers 429 and returns false when the call exceeds the rate limit. */
 static bool
 admit(call_t *call, const route_t *route)
 {
@@ -166,14 +166,14 @@
 	wait_ms = rate_take(rate, 1, web_now_ms());
 	if (wait_ms == 0)
 		return true;
-	answer_limited(call, wait_ms);
+	answer_rate_limited(call, wait_ms);
 	return false;
 }
 
 static bool
-pass_faults(call_t *call)
+passes_faults(call_t *call)
 {
-	switch (fault_gate(call->platform->faults, call->client)) {
+	switch (fault_treatment(call->platform->faults, call->client)) {
 	case FAULT_PASS:
 		return true;
 	case FAULT_REFUSE:
@@ -189,37 +189,38 @@
 	return false;
 }
 
-/* Ends without an answer, with the outage or when the client gives up. */
+/* Waits without an answer until the fault ends or the client disconnects. */
 static void
 hang(call_t *call)
 {
 	faults_t *faults = call->platform->faults;
 
-	while (fault_gate(faults, call->client) == FAULT_HANG &&
+	while (fault_treatment(faults, call->client) == FAULT_HANG &&
 	    !web_is_abandoned(call->request))
-		web_sleep_ms(NOTICE_MS);
+		web_sleep_ms(CHECK_INTERVAL_MS);
 }
 
 static void
 delay(call_t *call)
 {
 	int64_t delay_ms = fault_delay_ms(call->platform->faults);
-	int64_t until;
-	int64_t left;
+	int64_t until_ms;
+	int64_t left_ms;
 
 	if (delay_ms == 0)
 		return;
-	/* One more: the clock rounds down, the delay is a lower bound. */
-	until = web_now_ms() + delay_ms + 1;
-	while ((left = until - web_now_ms()) > 0) {
+	/* Plus 1 ms: the clock rounds down, and the delay is a minimum. */
+	until_ms = web_now_ms() + delay_ms + 1;
+	while ((left_ms = until_ms - web_now_ms()) > 0) {
 		if (web_is_abandoned(call->request))
 			return;
-		web_sleep_ms(left < NOTICE_MS ? left : NOTICE_MS);
+		web_sleep_ms(
+		    left_ms < CHECK_INTERVAL_MS ? left_ms : CHECK_INTERVAL_MS);
 	}
 }
 
 static void
-answer_limited(call_t *call, int64_t wait_ms)
+answer_rate_limited(call_t *call, int64_t wait_ms)
 {
 	char seconds[24];
 
@@ -255,7 +256,7 @@
 	web_add_header(call->answer, "ETag", etag);
 }
 
-/* False after a 400 for a condition that is not understood. */
+/* Answers 400 and returns false when the condition is malformed. */
 static bool
 read_condition(call_t *call, store_write_t *write)
 {
@@ -292,9 +293,10 @@
 }
 
 static void
-note_effect(call_t *call)
+apply_lost_answer(call_t *call)
 {
-	call->lost = fault_take_lost_answer(call->platform->faults, call->key);
+	call->drop_answer =
+	    fault_consume_lost_answer(call->platform->faults, call->key);
 }
 
 static void
@@ -351,7 +353,7 @@
 		return;
 	}
 	add_etag(call, version);
-	note_effect(call);
+	apply_lost_answer(call);
 }
 
 static void
@@ -374,7 +376,7 @@
 		break;
 	}
 	call->answer->status = 204;
-	note_effect(call);
+	apply_lost_answer(call);
 }
 
 static void
@@ -400,11 +402,11 @@
 run_watch(call_t *call)
 {
 	long wait = web_query_number(call->request, "wait", 0);
-	int64_t until = web_now_ms() + wait;
+	int64_t until_ms = web_now_ms() + wait;
 	watch_outcome_t outcome;
 	json_t *events = json_array();
 	uint64_t reached = 0;
-	int64_t slice = 0;
+	int64_t slice_ms = 0;
 	uint64_t since;
 
 	if (wait < 0 || wait > WATCH_WAIT_MAX_MS ||
@@ -416,12 +418,13 @@
 	}
 	do {
 		outcome = store_watch(call->platform->store, call->key, since,
-		    slice, events, &reached);
+		    slice_ms, events, &reached);
 		if (outcome == WATCH_NONE)
 			since = reached;
-	} while (outcome == WATCH_NONE && keep_watching(call, &slice, until));
-	/* A fault in the meantime takes the place of the answer. */
-	if (!pass_faults(call) || web_is_abandoned(call->request)) {
+	} while (
+	    outcome == WATCH_NONE && keep_watching(call, &slice_ms, until_ms));
+	/* A fault set during the wait replaces the answer. */
+	if (!passes_faults(call) || web_is_abandoned(call->request)) {
 		json_decref(events);
 		return;
 	}
@@ -475,7 +478,7 @@
 	wait_ms =
 	    rate_take(&call->platform->weights, (double)bytes, web_now_ms());
 	if (wait_ms > 0) {
-		answer_limited(call, wait_ms);
+		answer_rate_limited(call, wait_ms);
 		return;
 	}
 	web_answer_json(call->answer, 200, json_pack("{s:b}", "granted", 1));
@@ -490,14 +493,15 @@
 	return number >= 0;
 }
 
-/* Sets how long to wait next; false when the watch is over. */
+/* Sets the length of the next wait in ms; false when the watch must end. */
 static bool
-keep_watching(call_t *call, int64_t *slice, int64_t until)
+keep_watching(call_t *call, int64_t *slice_ms, int64_t until_ms)
 {
-	int64_t left = until - web_now_ms();
+	int64_t left_ms = until_ms - web_now_ms();
 
-	if (left <= 0 || web_is_abandoned(call->request))
+	if (left_ms <= 0 || web_is_abandoned(call->request))
 		return false;
-	*slice = left < NOTICE_MS ? left : NOTICE_MS;
-	return fault_gate(call->platform->faults, call->client) == FAULT_PASS;
+	*slice_ms = left_ms < CHECK_INTERVAL_MS ? left_ms : CHECK_INTERVAL_MS;
+	return fault_treatment(call->platform->faults, call->client) ==
+	    FAULT_PASS;
 }
--- a/standins/platform/routes.h
+++ b/standins/platform/routes.h
@@ -1,6 +1,6 @@
 /**
  * @file routes.h
- * @brief The platform's API and the stand-in's control port.
+ * @brief The API of the platform and the control port of the stand-in.
  */
 #ifndef STANDIN_ROUTES_H
 #define STANDIN_ROUTES_H
@@ -12,7 +12,7 @@
 #include "store.h"
 #include "vms.h"
 
-/** All that the handlers share; each part has its own lock. */
+/** The state shared by the handlers; each member has its own lock. */
 typedef struct {
 	store_t *store;
 	counts_t *counts;
@@ -23,7 +23,7 @@
 	rate_t weights; /**< bytes */
 } platform_t;
 
-/** Serves the published interface; @p ctx is a platform_t. */
+/** Serves the API of the platform; @p ctx is a platform_t. */
 void route_api(void *ctx, const web_request_t *request, web_answer_t *answer);
 /** Serves the control port; @p ctx is a platform_t. */
 void
--- a/standins/platform/store.c
+++ b/standins/platform/store.c
@@ -1,6 +1,6 @@
 /**
  * @file store.c
- * @brief The object store in memory; see store.h.
+ * @brief The in-memory object store; see store.h.
  */
 #include <errno.h>
 #include <pthread.h>
@@ -12,12 +12,12 @@
 #include "journal.h"
 #include "store.h"
 
-/* One list's values, so that its answer stays within reasonable memory. */
-#define LIST_VALUE_BYTES (8U * 1024 * 1024)
+/* Bytes of values in one list answer, which limits its memory. */
+#define LIST_VALUES_MAX_BYTES (8U * 1024 * 1024)
 
 struct store {
 	pthread_mutex_t lock;
-	pthread_cond_t changed; /* after each write and forgotten history */
+	pthread_cond_t changed; /* after each write or cleared history */
 	GTree *objects; /* key -> object_t, ordered by key */
 	uint64_t revision;
 	watch_history_t history;
@@ -29,7 +29,7 @@
 	blob_t *value;
 } object_t;
 
-/* One listed object, taken under the lock and encoded outside it. */
+/* One listed object, copied under the lock and encoded without it. */
 typedef struct {
 	char *key;
 	uint64_t version;
@@ -40,8 +40,8 @@
 static void object_free(gpointer);
 static void item_clear(gpointer);
 static store_outcome_t
-check(const object_t *, const store_write_t *, uint64_t *);
-static void record(store_t *, const store_write_t *, blob_t *);
+check_condition(const object_t *, const store_write_t *, uint64_t *);
+static void record_write(store_t *, const store_write_t *, blob_t *);
 static bool collect_items(store_t *, const store_list_t *, GArray *);
 static json_t *item_dump(const item_t *, bool);
 static struct timespec deadline_after(int64_t);
@@ -104,7 +104,7 @@
 	pthread_mutex_lock(&store->lock);
 	object = g_tree_lookup(store->objects, key);
 	if (object != NULL) {
-		*value = blob_hold(object->value);
+		*value = blob_acquire(object->value);
 		*version = object->version;
 		outcome = STORE_OK;
 	}
@@ -121,14 +121,14 @@
 
 	pthread_mutex_lock(&store->lock);
 	object = g_tree_lookup(store->objects, write->key);
-	outcome = check(object, write, version);
+	outcome = check_condition(object, write, version);
 	if (outcome == STORE_ABSENT && write->condition != STORE_IF_VERSION)
 		outcome = STORE_CREATED;
 	if (outcome == STORE_OK || outcome == STORE_CREATED) {
-		record(store, write, value);
+		record_write(store, write, value);
 		object = g_new0(object_t, 1);
 		object->version = store->revision;
-		object->value = blob_hold(value);
+		object->value = blob_acquire(value);
 		g_tree_replace(store->objects, g_strdup(write->key), object);
 		*version = store->revision;
 	}
@@ -143,10 +143,10 @@
 	store_outcome_t outcome;
 
 	pthread_mutex_lock(&store->lock);
-	outcome =
-	    check(g_tree_lookup(store->objects, write->key), write, version);
+	outcome = check_condition(
+	    g_tree_lookup(store->objects, write->key), write, version);
 	if (outcome == STORE_OK) {
-		record(store, write, NULL);
+		record_write(store, write, NULL);
 		g_tree_remove(store->objects, write->key);
 	}
 	pthread_mutex_unlock(&store->lock);
@@ -190,7 +190,7 @@
 		    &store->history, prefix, since, events, reached);
 		if (outcome != WATCH_NONE || result != 0)
 			break;
-		/* Nothing up to here concerns this watcher. */
+		/* No event up to this revision matches the prefix. */
 		since = *reached;
 		result = pthread_cond_timedwait(
 		    &store->changed, &store->lock, &deadline);
@@ -200,10 +200,10 @@
 }
 
 void
-store_forget_history(store_t *store)
+store_clear_history(store_t *store)
 {
 	pthread_mutex_lock(&store->lock);
-	watch_forget(&store->history, store->revision);
+	watch_clear(&store->history, store->revision);
 	pthread_cond_broadcast(&store->changed);
 	pthread_mutex_unlock(&store->lock);
 }
@@ -253,9 +253,10 @@
 	blob_release(item->value);
 }
 
-/* STORE_OK: there is an object and the condition holds. */
+/* Returns STORE_OK when the object exists and the condition holds. */
 static store_outcome_t
-check(const object_t *object, const store_write_t *write, uint64_t *version)
+check_condition(
+    const object_t *object, const store_write_t *write, uint64_t *version)
 {
 	if (object == NULL)
 		return STORE_ABSENT;
@@ -269,7 +270,7 @@
 }
 
 static void
-record(store_t *store, const store_write_t *write, blob_t *value)
+record_write(store_t *store, const store_write_t *write, blob_t *value)
 {
 	store->revision++;
 	watch_append(
@@ -301,10 +302,10 @@
 			bytes += object->value->size;
 		if (items->len >= list->limit)
 			return true;
-		if (items->len > 0 && bytes > LIST_VALUE_BYTES)
+		if (items->len > 0 && bytes > LIST_VALUES_MAX_BYTES)
 			return true;
 		item.key = g_strdup(g_tree_node_key(node));
-		item.value = blob_hold(object->value);
+		item.value = blob_acquire(object->value);
 		g_array_append_val(items, item);
 	}
 	return false;
--- a/standins/platform/store.h
+++ b/standins/platform/store.h
@@ -1,8 +1,8 @@
 /**
  * @file store.h
- * @brief The objects, with versions, conditional writes and watches.
+ * @brief The object store with versions, conditional writes and watches.
  *
- * One mutex makes all writes linearizable.
+ * A single mutex makes all writes linearizable.
  */
 #ifndef STANDIN_STORE_H
 #define STANDIN_STORE_H
@@ -15,11 +15,11 @@
 #include "blob.h"
 #include "watch.h"
 
-/** Longest key, bytes. */
+/** Maximum key length, bytes. */
 #define STORE_KEY_MAX 512
-/** Largest value, bytes. */
+/** Maximum value size, bytes. */
 #define STORE_VALUE_MAX 1048576
-/** Most items of one list. */
+/** Maximum items of one list answer. */
 #define STORE_LIST_MAX 1000
 
 typedef struct store store_t;
@@ -61,7 +61,7 @@
 bool store_is_key(const char *key);
 /** True for a key or the empty string. */
 bool store_is_prefix(const char *prefix);
-/** STORE_OK with a held @p *value and its version, or STORE_ABSENT. */
+/** STORE_OK with a new reference @p *value and its version, or STORE_ABSENT. */
 store_outcome_t
 store_get(store_t *store, const char *key, blob_t **value, uint64_t *version);
 /** @p *version becomes the new version, or the current one on a conflict. */
@@ -70,18 +70,18 @@
 /** @p *version is set on a conflict. */
 store_outcome_t
 store_delete(store_t *store, const store_write_t *write, uint64_t *version);
-/** The list's answer, see docs/interfaces/PLATFORM.md. */
+/** The answer to a list request, see docs/interfaces/PLATFORM.md. */
 json_t *store_list(store_t *store, const store_list_t *list);
 /**
- * Waits at most @p wait_ms for events newer than @p since; @p *reached is the
- * revision that the outcome covers.
+ * Waits at most @p wait_ms for events newer than @p since. Sets @p *reached to
+ * the revision up to which the outcome is complete.
  */
 watch_outcome_t store_watch(store_t *store, const char *prefix, uint64_t since,
     int64_t wait_ms, json_t *events, uint64_t *reached);
 
-/** Forgets the watch history. */
-void store_forget_history(store_t *store);
-/** Loses the next @p count events. */
+/** Clears the watch history. */
+void store_clear_history(store_t *store);
+/** Omits the next @p count events from the watch history. */
 void store_drop_events(store_t *store, long count);
 /** The journal below @p prefix; @p *dropped entries are no longer kept. */
 json_t *store_journal(store_t *store, const char *prefix, uint64_t *dropped);
--- a/standins/platform/vms.c
+++ b/standins/platform/vms.c
@@ -1,6 +1,6 @@
 /**
  * @file vms.c
- * @brief The lagging VM list; see vms.h.
+ * @brief The delayed VM list; see vms.h.
  */
 #include <sys/queue.h>
 
@@ -12,7 +12,7 @@
 
 #include "vms.h"
 
-/* One state of the list, in the order in which they were posted. */
+/* One posted version of the list; versions are kept in posting order. */
 typedef struct version {
 	TAILQ_ENTRY(version) link;
 	uint64_t revision;
@@ -53,18 +53,18 @@
 }
 
 bool
-vms_replace(vms_t *vms, const json_t *document, int64_t visible_ms, char *why,
-    size_t why_size)
+vms_replace(vms_t *vms, const json_t *document, int64_t visible_ms,
+    char *reason, size_t reason_size)
 {
 	const json_t *list = json_object_get(document, "vms");
 	size_t i;
 
 	if (!json_is_array(list)) {
-		snprintf(why, why_size, "vms: not a list");
+		snprintf(reason, reason_size, "vms: not a list");
 		return false;
 	}
 	for (i = 0; i < json_array_size(list); i++) {
-		if (!is_vm(json_array_get(list, i), why, why_size))
+		if (!is_vm(json_array_get(list, i), reason, reason_size))
 			return false;
 	}
 	pthread_mutex_lock(&vms->lock);
@@ -91,7 +91,7 @@
 }
 
 static bool
-is_vm(const json_t *vm, char *why, size_t why_size)
+is_vm(const json_t *vm, char *reason, size_t reason_size)
 {
 	static const char *const texts[] = {"id", "domain", "address"};
 	const json_t *service = json_object_get(vm, "service");
@@ -100,19 +100,20 @@
 	for (i = 0; i < sizeof(texts) / sizeof(texts[0]); i++) {
 		if (json_is_string(json_object_get(vm, texts[i])))
 			continue;
-		snprintf(why, why_size, "%s: not a string", texts[i]);
+		snprintf(reason, reason_size, "%s: not a string", texts[i]);
 		return false;
 	}
 	if (service != NULL && !json_is_string(service)) {
-		snprintf(why, why_size, "service: not a string");
+		snprintf(reason, reason_size, "service: not a string");
 		return false;
 	}
 	if (!is_one_of(json_object_get(vm, "kind"), "entry", "server")) {
-		snprintf(why, why_size, "kind: neither entry nor server");
+		snprintf(reason, reason_size, "kind: neither entry nor server");
 		return false;
 	}
 	if (!is_one_of(json_object_get(vm, "state"), "live", "leaving")) {
-		snprintf(why, why_size, "state: neither live nor leaving");
+		snprintf(
+		    reason, reason_size, "state: neither live nor leaving");
 		return false;
 	}
 	return true;
@@ -149,7 +150,7 @@
 	g_free(version);
 }
 
-/* The lag may have been shortened: a later list can be visible earlier. */
+/* If the lag was reduced, a later list may be visible before an earlier one. */
 static version_t *
 newest_visible(vms_t *vms, int64_t now_ms)
 {
--- a/standins/platform/vms.h
+++ b/standins/platform/vms.h
@@ -1,6 +1,6 @@
 /**
  * @file vms.h
- * @brief The platform's list of VMs, which lags behind the truth.
+ * @brief The platform's list of VMs; changes become visible after a delay.
  */
 #ifndef STANDIN_VMS_H
 #define STANDIN_VMS_H
@@ -15,12 +15,12 @@
 vms_t *vms_create(void);
 void vms_destroy(vms_t *vms);
 /**
- * Replaces the list by that of @p document (`{"vms":[…]}`), which readers see
- * from @p visible_ms on. False with the reason in @p why when it is not valid.
+ * Replaces the list with that of @p document (`{"vms":[…]}`), which becomes
+ * visible at @p visible_ms. False with the reason in @p reason if invalid.
  */
 bool vms_replace(vms_t *vms, const json_t *document, int64_t visible_ms,
-    char *why, size_t why_size);
-/** The list that readers see at @p now_ms, with its revision. */
+    char *reason, size_t reason_size);
+/** The list that is visible at @p now_ms, with its revision. */
 json_t *vms_dump(vms_t *vms, int64_t now_ms);
 
 #endif
--- a/standins/platform/watch.c
+++ b/standins/platform/watch.c
@@ -1,15 +1,15 @@
 /**
  * @file watch.c
- * @brief The history of events; see watch.h.
+ * @brief The history of watch events; see watch.h.
  */
 #include <glib.h>
 
 #include "watch.h"
 
-/* One answer's events; the rest follow on the next call. */
-#define ANSWER_EVENTS 1000
+/* Maximum events of one answer; the next call returns the remaining ones. */
+#define ANSWER_EVENTS_MAX 1000
 
-static void forget_oldest(watch_history_t *);
+static void drop_oldest(watch_history_t *);
 static const watch_event_t *first_after(const watch_history_t *, uint64_t);
 static json_t *event_dump(const watch_event_t *);
 
@@ -27,7 +27,7 @@
 watch_destroy(watch_history_t *history)
 {
 	while (!TAILQ_EMPTY(&history->events))
-		forget_oldest(history);
+		drop_oldest(history);
 }
 
 void
@@ -47,14 +47,14 @@
 	TAILQ_INSERT_TAIL(&history->events, event, link);
 	history->count++;
 	while (history->count > history->limit)
-		forget_oldest(history);
+		drop_oldest(history);
 }
 
 void
-watch_forget(watch_history_t *history, uint64_t revision)
+watch_clear(watch_history_t *history, uint64_t revision)
 {
 	while (!TAILQ_EMPTY(&history->events))
-		forget_oldest(history);
+		drop_oldest(history);
 	history->floor = revision;
 }
 
@@ -64,7 +64,7 @@
 {
 	const watch_event_t *event;
 
-	/* A revision from the future was seen before a restart of the store. */
+	/* A revision above the current one is from before a store restart. */
 	if (since < history->floor || since > *reached)
 		return WATCH_GONE;
 	event = first_after(history, since);
@@ -72,7 +72,7 @@
 		if (!g_str_has_prefix(event->key, prefix))
 			continue;
 		json_array_append_new(events, event_dump(event));
-		if (json_array_size(events) < ANSWER_EVENTS)
+		if (json_array_size(events) < ANSWER_EVENTS_MAX)
 			continue;
 		*reached = event->revision;
 		break;
@@ -81,7 +81,7 @@
 }
 
 static void
-forget_oldest(watch_history_t *history)
+drop_oldest(watch_history_t *history)
 {
 	watch_event_t *event = TAILQ_FIRST(&history->events);
 
@@ -92,7 +92,7 @@
 	g_free(event);
 }
 
-/* From the newest end: most watchers are nearly up to date. */
+/* Searches from the newest event, as most watchers are nearly up to date. */
 static const watch_event_t *
 first_after(const watch_history_t *history, uint64_t since)
 {
--- a/standins/service/faults.c
+++ b/standins/service/faults.c
@@ -46,21 +46,21 @@
 	return NULL;
 }
 
-after_run_t
-faults_take(faults_t *faults)
+run_response_t
+faults_next_response(faults_t *faults)
 {
 	if (take_one(&faults->run_then_503))
-		return AFTER_503;
+		return RESPONSE_503;
 	if (take_one(&faults->run_then_break))
-		return AFTER_BREAK;
+		return RESPONSE_BREAK;
 	if (take_one(&faults->run_then_hang))
-		return AFTER_HANG;
-	if (process_draw_share(&faults->failures, faults->fail_share))
-		return AFTER_500;
-	return AFTER_ANSWER;
+		return RESPONSE_HANG;
+	if (process_random_bool(&faults->failures, faults->fail_share))
+		return RESPONSE_500;
+	return RESPONSE_NORMAL;
 }
 
-/* An absent field will do. */
+/* An absent field is valid. */
 static bool
 is_count(const json_t *value)
 {
--- a/standins/service/main.c
+++ b/standins/service/main.c
@@ -61,7 +61,7 @@
 static void
 service_init(service_t *service)
 {
-	process_make_boot(service->boot);
+	process_make_boot_id(service->boot);
 	pthread_mutex_init(&service->lock, NULL);
 	runs_init(&service->runs);
 	service->faults.failures.seed = (uint64_t)service->options.seed;
--- a/standins/service/runs.h
+++ b/standins/service/runs.h
@@ -1,6 +1,6 @@
 /**
  * @file runs.h
- * @brief The calls that the service ran, for tests to read.
+ * @brief Records of the calls that the service ran, which tests can read.
  */
 #ifndef STANDIN_SERVICE_RUNS_H
 #define STANDIN_SERVICE_RUNS_H
@@ -11,7 +11,7 @@
 #include <glib.h>
 #include <jansson.h>
 
-/** One run; key and request may be NULL. */
+/** The record of one run; key and request may be NULL. */
 typedef struct {
 	uint64_t number; /**< from 1 */
 	char *name;
@@ -24,17 +24,17 @@
 /** All runs. */
 typedef struct {
 	GPtrArray *list;
-	GHashTable *per_key; /**< runs of each key */
+	GHashTable *per_key; /**< number of runs by key */
 	long doubled; /**< keys with more than one run */
 } runs_t;
 
 void runs_init(runs_t *runs);
 void runs_destroy(runs_t *runs);
-/** Adds a run, whose strings it copies, and numbers it. Locked. */
+/** Adds a copy of a run and assigns its number. Locked. */
 const run_t *runs_add(runs_t *runs, const run_t *run);
-/** The runs as GET /control/runs shows them. Locked. */
+/** The runs as returned by GET /control/runs. Locked. */
 json_t *runs_list(const runs_t *runs);
-/** The sums as GET /control/counts shows them. Locked. */
+/** The totals as returned by GET /control/counts. Locked. */
 json_t *runs_count(const runs_t *runs);
 
 #endif
--- a/standins/service/service.c
+++ b/standins/service/service.c
@@ -9,18 +9,18 @@
 
 #define CALL_PATH "/call/"
 #define CRASH_MARK "<<crash>>"
-/* Seconds after which a leaving service's caller may ask again. */
-#define LEAVING_RETRY "1"
-/* Between looks at whether a hung call's caller is still there. */
-#define PROBE_MS 20
+/* Retry-After of a leaving service, seconds. */
+#define LEAVING_RETRY_AFTER_S "1"
+/* Interval between checks whether the caller hung up, milliseconds. */
+#define CALLER_CHECK_MS 20
 
 static void serve_call(service_t *, const web_request_t *, web_answer_t *);
 static void wait_delay(const web_request_t *, int64_t);
 static bool refuse(const faults_t *, web_answer_t *);
-static after_run_t run(service_t *, const web_request_t *, uint64_t *);
+static run_response_t run(service_t *, const web_request_t *, uint64_t *);
 static void print_run(const run_t *);
 static void
-answer_after(after_run_t, const web_request_t *, uint64_t, web_answer_t *);
+answer_run(run_response_t, const web_request_t *, uint64_t, web_answer_t *);
 static json_t *echo_json(const web_request_t *, uint64_t);
 static void hang(const web_request_t *);
 static void serve_fault(service_t *, const web_request_t *, web_answer_t *);
@@ -71,7 +71,7 @@
 serve_call(
     service_t *service, const web_request_t *request, web_answer_t *answer)
 {
-	after_run_t after;
+	run_response_t response;
 	uint64_t number;
 	int64_t delay_ms;
 	bool refused;
@@ -84,14 +84,14 @@
 	pthread_mutex_unlock(&service->lock);
 	if (refused)
 		return;
-	after = run(service, request, &number);
+	response = run(service, request, &number);
 	wait_delay(request, delay_ms);
-	answer_after(after, request, number, answer);
-	/* A hung call does not hold up the end of the process. */
+	answer_run(response, request, number, answer);
+	/* A hung call must not delay the exit of the process. */
 	pthread_mutex_lock(&service->lock);
 	service->open--;
 	pthread_mutex_unlock(&service->lock);
-	if (after == AFTER_HANG)
+	if (response == RESPONSE_HANG)
 		hang(request);
 }
 
@@ -101,16 +101,16 @@
 	int64_t until_ms = web_now_ms() + delay_ms;
 
 	while (web_now_ms() < until_ms && !web_is_abandoned(request))
-		web_sleep_ms(PROBE_MS);
+		web_sleep_ms(CALLER_CHECK_MS);
 }
 
-/* Refuses a call that is not run while leaving or refusing. Locked. */
+/* Refuses a call while the leaving or refuse fault is set. Locked. */
 static bool
 refuse(const faults_t *faults, web_answer_t *answer)
 {
 	if (faults->leaving) {
 		web_add_header(answer, "Jujube-Leaving", "1");
-		web_add_header(answer, "Retry-After", LEAVING_RETRY);
+		web_add_header(answer, "Retry-After", LEAVING_RETRY_AFTER_S);
 		web_answer_problem(
 		    answer, 503, "leaving", "this server is leaving");
 		return true;
@@ -123,13 +123,13 @@
 	return false;
 }
 
-/* Records the call and draws what becomes of its answer. */
-static after_run_t
+/* Records the call and chooses how it is answered. */
+static run_response_t
 run(service_t *service, const web_request_t *request, uint64_t *number)
 {
 	run_t record = {0};
 	const run_t *added;
-	after_run_t after;
+	run_response_t response;
 
 	record.name = (char *)request->path + strlen(CALL_PATH);
 	record.key = (char *)web_header(request, "Idempotency-Key");
@@ -139,17 +139,17 @@
 	pthread_mutex_lock(&service->lock);
 	added = runs_add(&service->runs, &record);
 	*number = added->number;
-	after = faults_take(&service->faults);
+	response = faults_next_response(&service->faults);
 	if (strstr(request->body, CRASH_MARK) != NULL &&
 	    !service->options.no_crash) {
 		print_run(added);
 		_exit(1);
 	}
 	pthread_mutex_unlock(&service->lock);
-	return after;
+	return response;
 }
 
-/* Lets a test count a run whose record dies with the process. */
+/* Lets a test count a run whose record is lost with the process. */
 static void
 print_run(const run_t *run)
 {
@@ -161,22 +161,22 @@
 }
 
 static void
-answer_after(after_run_t after, const web_request_t *request, uint64_t number,
-    web_answer_t *answer)
+answer_run(run_response_t response, const web_request_t *request,
+    uint64_t number, web_answer_t *answer)
 {
-	switch (after) {
-	case AFTER_ANSWER:
+	switch (response) {
+	case RESPONSE_NORMAL:
 		web_answer_json(answer, 200, echo_json(request, number));
 		break;
-	case AFTER_503:
+	case RESPONSE_503:
 		web_answer_problem(
 		    answer, 503, "overloaded", "this server refuses work");
 		break;
-	case AFTER_500:
+	case RESPONSE_500:
 		web_answer_problem(answer, 500, "failed", "failed after run");
 		break;
-	case AFTER_BREAK:
-	case AFTER_HANG:
+	case RESPONSE_BREAK:
+	case RESPONSE_HANG:
 		answer->status = 0;
 		break;
 	}
@@ -193,12 +193,12 @@
 	    web_header(request, "Idempotency-Key"), "echo", body);
 }
 
-/* Returns when the caller has hung up. */
+/* Waits until the caller hangs up. */
 static void
 hang(const web_request_t *request)
 {
 	while (!web_is_abandoned(request))
-		web_sleep_ms(PROBE_MS);
+		web_sleep_ms(CALLER_CHECK_MS);
 }
 
 static void
@@ -206,16 +206,16 @@
     service_t *service, const web_request_t *request, web_answer_t *answer)
 {
 	json_t *body = json_loadb(request->body, request->body_size, 0, NULL);
-	const char *wrong = "the body";
+	const char *invalid_field = "the body";
 
 	if (json_is_object(body)) {
 		pthread_mutex_lock(&service->lock);
-		wrong = faults_set(&service->faults, body);
+		invalid_field = faults_set(&service->faults, body);
 		pthread_mutex_unlock(&service->lock);
 	}
-	if (wrong == NULL)
+	if (invalid_field == NULL)
 		web_answer_json(answer, 200, json_object());
 	else
-		web_answer_problem(answer, 400, "malformed", wrong);
+		web_answer_problem(answer, 400, "malformed", invalid_field);
 	json_decref(body);
 }
