--- a/standins/service/service.h
+++ b/standins/service/service.h
@@ -1,6 +1,9 @@
 /**
  * @file service.h
  * @brief The state shared by the modules of the stand-in for a plain service.
+ *
+ * One mutex guards the state. Functions documented as "Locked." must be called
+ * with it held.
  */
 #ifndef STANDIN_SERVICE_H
 #define STANDIN_SERVICE_H
