--- a/bench/batch_side.c
+++ b/bench/batch_side.c
@@ -1,6 +1,6 @@
 /**
  * @file batch_side.c
- * @brief Batch items: offered, under way, ended; and the baselines.
+ * @brief Batch items: submission, completion, and the baseline policies.
  */
 #include <stdlib.h>
 
@@ -19,12 +19,12 @@
 	jj_dispatch_t *dispatch = world->vms[vm].dispatch;
 	jj_request_t request = {0};
 	item_t *item;
-	uint32_t room;
+	uint32_t capacity;
 
-	if (!world->batch_counts)
+	if (!world->batch_offered)
 		return;
-	room = jj_dispatch_batch_room(dispatch, world_now_ms(world));
-	while (room > 0) {
+	capacity = jj_dispatch_batch_room(dispatch, world_now_ms(world));
+	while (capacity > 0) {
 		item = make_item(world);
 		request.request = item->request;
 		request.class_of = JJ_CLASS_BATCH;
@@ -39,29 +39,29 @@
 		jj_dispatch_begin(
 		    dispatch, &request, world_now_ms(world), actions);
 		vms_do_actions(world, vm, actions);
-		room--;
+		capacity--;
 		if (jj_dispatch_batch_room(dispatch, world_now_ms(world)) == 0)
 			break;
 	}
 }
 
-/* The baselines: so many batch streams per server, whatever happens. */
+/* Baseline: a fixed number of batch streams per server at any load. */
 void
 batch_offer_capped(world_t *world)
 {
 	uint32_t server;
 	item_t *item;
 
-	if (!world->batch_counts)
+	if (!world->batch_offered)
 		return;
 	for (server = 0; server < world->scenario->servers; server++) {
 		if (!world->engines[server].alive ||
 		    world->engines[server].leaving)
 			continue;
-		while (world->capped[server] < world->policy.cap) {
+		while (world->capped_streams[server] < world->policy.cap) {
 			item = make_item(world);
 			item->server = server;
-			world->capped[server]++;
+			world->capped_streams[server]++;
 			servers_submit(world, server % world->scenario->vms,
 			    server, item->request, 1);
 		}
@@ -69,14 +69,14 @@
 }
 
 void
-batch_take_cap_event(world_t *world, const event_t *event)
+batch_handle_cap_event(world_t *world, const event_t *event)
 {
 	item_t *item = batch_find(world, event->request);
 
 	if (item == NULL || event->backend == JJ_BACKEND_FIRST ||
 	    event->backend == JJ_BACKEND_TOKENS)
 		return;
-	world->capped[item->server]--;
+	world->capped_streams[item->server]--;
 	end_item(world, item, event->backend == JJ_BACKEND_DONE);
 	batch_offer_capped(world);
 }
@@ -126,7 +126,7 @@
 	    (uint32_t)(random_share(&world->batch_random) *
 		scenario->batch_tokens);
 	item->prompt = scenario->batch_prompt;
-	/* One job's items begin alike. */
+	/* All items share one prompt prefix, as those of one job do. */
 	item->prefix = 1000000;
 	LIST_INSERT_HEAD(&world->items, item, link);
 	return item;
--- a/bench/batch_side.h
+++ b/bench/batch_side.h
@@ -1,23 +1,23 @@
 /**
  * @file batch_side.h
- * @brief Batch items: offered, under way, ended; and the baselines.
+ * @brief Batch items: submission, completion, and the baseline policies.
  */
 #ifndef BENCH_BATCH_SIDE_H
 #define BENCH_BATCH_SIDE_H
 
 #include "world_state.h"
 
-/** Gives a VM as many items as its dispatch has room for. */
+/** Submits as many items to a VM as its dispatch has free capacity for. */
 void batch_offer(world_t *world, uint32_t vm, jj_actions_t *actions);
-/** Fills each server up to the cap of POLICY_CAP. */
+/** Submits items until each server runs as many as POLICY_CAP allows. */
 void batch_offer_capped(world_t *world);
-/** A backend's news of an item under POLICY_CAP. */
-void batch_take_cap_event(world_t *world, const event_t *event);
-/** Ends an item if it is under way; done: its tokens count. */
+/** Handles a server's event on an item under POLICY_CAP. */
+void batch_handle_cap_event(world_t *world, const event_t *event);
+/** Ends a running item, if any; @p done: its tokens are counted. */
 void batch_end(world_t *world, uint64_t request, bool done);
-/** The item under way with this request; NULL when there is none. */
+/** Finds the running item of a request; NULL when there is none. */
 item_t *batch_find(world_t *world, uint64_t request);
-/** Frees what is still under way. */
+/** Frees the items that are still running. */
 void batch_destroy(world_t *world);
 
 #endif
--- a/bench/callers.c
+++ b/bench/callers.c
@@ -1,6 +1,6 @@
 /**
  * @file callers.c
- * @brief Online requests as their callers send them and see them end.
+ * @brief Online requests as seen by their callers: arrival and outcome.
  */
 #include <stdlib.h>
 
@@ -42,14 +42,14 @@
 }
 
 void
-callers_take_arrival(world_t *world, const event_t *event)
+callers_handle_arrival(world_t *world, const event_t *event)
 {
 	call_t *call = &world->run->calls[event->request];
 	jj_actions_t actions = TAILQ_HEAD_INITIALIZER(actions);
 	jj_request_t request = {0};
 
-	/* The balancer sends nothing to a VM that does not answer. */
-	while (world->vms[call->vm].frozen)
+	/* The load balancer skips VMs that do not answer. */
+	while (world->vms[call->vm].paused)
 		call->vm = (call->vm + 1) % world->scenario->vms;
 	request.request = event->request + 1;
 	request.class_of = JJ_CLASS_ONLINE;
@@ -65,11 +65,11 @@
 	    &request.prefix_count, request.prefix);
 	jj_dispatch_begin(world->vms[call->vm].dispatch, &request,
 	    world_now_ms(world), &actions);
-	vms_settle(world, call->vm, &actions);
+	vms_do_actions_and_tick(world, call->vm, &actions);
 }
 
 void
-callers_take_event(world_t *world, const event_t *event)
+callers_handle_event(world_t *world, const event_t *event)
 {
 	call_t *call = &world->run->calls[event->request - 1];
 
@@ -84,7 +84,7 @@
 }
 
 void
-callers_take_answer(world_t *world, const jj_answer_t *answer)
+callers_handle_answer(world_t *world, const jj_answer_t *answer)
 {
 	call_t *call = &world->run->calls[answer->request - 1];
 
@@ -95,9 +95,9 @@
 	call->end_us = world->now_us;
 }
 
-/* The last block is the request's own, the others are shared. */
+/* The last block is unique to the request, the others are shared. */
 void
-callers_fill_prefixes(uint64_t prefix, uint32_t prompt, uint64_t own,
+callers_fill_prefixes(uint64_t prefix, uint32_t prompt, uint64_t request_id,
     uint32_t *count, uint64_t *hashes)
 {
 	uint64_t seed = prefix + 1;
@@ -108,7 +108,7 @@
 		*count = JJ_PREFIX_BLOCKS_MAX;
 	for (i = 0; i < *count; i++) {
 		if (i + 1 == *count)
-			seed ^= own << 20;
+			seed ^= request_id << 20;
 		hashes[i] = random_next(&seed) | 1;
 	}
 }
@@ -117,23 +117,23 @@
 make_phase_calls(world_t *world, const bench_phase_t *phase, size_t *size)
 {
 	double length = phase->to_s - phase->from_s;
-	double most =
+	double max_rate =
 	    phase->rate > phase->rate_end ? phase->rate : phase->rate_end;
-	double at = 0;
+	double at_s = 0;
 	double rate;
 	call_t call = {0};
 
 	call.team = phase->team;
 	call.prompt = phase->prompt;
-	while (most > 0) {
-		at += random_exponential(&world->random, 1 / most);
-		if (at >= length)
+	while (max_rate > 0) {
+		at_s += random_exponential(&world->random, 1 / max_rate);
+		if (at_s >= length)
 			return;
-		rate =
-		    phase->rate + (phase->rate_end - phase->rate) * at / length;
-		if (random_share(&world->random) * most > rate)
+		rate = phase->rate +
+		    (phase->rate_end - phase->rate) * at_s / length;
+		if (random_share(&world->random) * max_rate > rate)
 			continue;
-		call.arrival_us = world_at_us(phase->from_s + at);
+		call.arrival_us = world_at_us(phase->from_s + at_s);
 		call.tokens = phase->tokens / 3 +
 		    (uint32_t)random_exponential(
 			&world->random, phase->tokens * 2 / 3.0);
--- a/bench/engine.c
+++ b/bench/engine.c
@@ -1,6 +1,6 @@
 /**
  * @file engine.c
- * @brief Steps of a fake engine.
+ * @brief Steps of the simulated engine.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -8,15 +8,15 @@
 #include "engine.h"
 #include "random.h"
 
-/* Tokens of a prefix block. */
+/* Tokens per prefix block. */
 #define BLOCK_TOKENS 64
 
 static uint32_t admit(bench_engine_t *, bool *);
 static uint32_t count_uncached(bench_engine_t *, const bench_stream_t *);
 static void
 step_stream(bench_engine_t *, bench_stream_t *, bench_emit_t *, void *);
-static void drop(bench_engine_t *, bench_stream_t *, bool);
-static void drop_all(bench_engine_t *);
+static void remove_stream(bench_engine_t *, bench_stream_t *, bool);
+static void remove_all(bench_engine_t *);
 static void free_list(bench_streams_t *);
 
 void
@@ -38,7 +38,7 @@
 void
 engine_destroy(bench_engine_t *engine)
 {
-	drop_all(engine);
+	remove_all(engine);
 	free(engine->cache);
 }
 
@@ -74,7 +74,7 @@
 	if (stream == NULL)
 		return -1;
 	tokens = stream->tokens;
-	drop(engine, stream, running);
+	remove_stream(engine, stream, running);
 	return tokens;
 }
 
@@ -84,21 +84,21 @@
 	const bench_scenario_t *scenario = engine->scenario;
 	uint32_t uncached;
 	double length;
-	double over;
+	double excess;
 
 	*crashed = false;
 	if (!engine->alive || engine->stepping)
 		return 0;
-	engine_settle(engine, now_us);
+	engine_count_idle(engine, now_us);
 	uncached = admit(engine, crashed);
 	if (*crashed || engine->running_count == 0)
 		return 0;
-	over = (double)engine->running_count - scenario->soft;
+	excess = (double)engine->running_count - scenario->soft;
 	length = scenario->step_ms * 1000.0;
-	if (over > 0)
-		length *= 1 + over / scenario->soft;
+	if (excess > 0)
+		length *= 1 + excess / scenario->soft;
 	else
-		engine->idle_tokens -= over;
+		engine->idle_tokens -= excess;
 	length += (double)uncached * scenario->prefill_us;
 	engine->stepping = true;
 	return (int64_t)(length * engine->slow);
@@ -126,7 +126,7 @@
 {
 	bench_stream_t *stream;
 
-	engine_settle(engine, now_us);
+	engine_count_idle(engine, now_us);
 	engine->alive = false;
 	engine->stepping = false;
 	engine->epoch++;
@@ -134,7 +134,7 @@
 	emit(ctx, stream, JJ_BACKEND_BROKEN);
 	TAILQ_FOREACH(stream, &engine->running, link)
 	emit(ctx, stream, JJ_BACKEND_BROKEN);
-	drop_all(engine);
+	remove_all(engine);
 }
 
 void
@@ -149,7 +149,7 @@
 }
 
 void
-engine_settle(bench_engine_t *engine, int64_t now_us)
+engine_count_idle(bench_engine_t *engine, int64_t now_us)
 {
 	double step_us = engine->scenario->step_ms * 1000.0 * engine->slow;
 
@@ -160,7 +160,7 @@
 	engine->idle_since_us = now_us;
 }
 
-/* Fills the slots; returns the prompt tokens to be worked through. */
+/* Fills the free slots; returns the prompt tokens to prefill. */
 static uint32_t
 admit(bench_engine_t *engine, bool *crashed)
 {
@@ -184,15 +184,15 @@
 count_uncached(bench_engine_t *engine, const bench_stream_t *stream)
 {
 	uint32_t cached = 0;
-	uint64_t *place;
+	uint64_t *slot;
 	uint32_t i;
 
 	for (i = 0; i < stream->prefix_count; i++) {
-		place = &engine->cache[stream->prefix[i] %
+		slot = &engine->cache[stream->prefix[i] %
 		    engine->scenario->cache_blocks];
-		if (*place == stream->prefix[i] && cached == i)
+		if (*slot == stream->prefix[i] && cached == i)
 			cached++;
-		*place = stream->prefix[i];
+		*slot = stream->prefix[i];
 	}
 	cached *= BLOCK_TOKENS;
 	return cached < stream->prompt ? stream->prompt - cached : 0;
@@ -205,7 +205,7 @@
 	stream->tokens++;
 	if (stream->fails) {
 		emit(ctx, stream, JJ_BACKEND_FAILED);
-		drop(engine, stream, true);
+		remove_stream(engine, stream, true);
 		return;
 	}
 	emit(ctx, stream,
@@ -213,11 +213,11 @@
 	if (stream->tokens < stream->length)
 		return;
 	emit(ctx, stream, JJ_BACKEND_DONE);
-	drop(engine, stream, true);
+	remove_stream(engine, stream, true);
 }
 
 static void
-drop(bench_engine_t *engine, bench_stream_t *stream, bool running)
+remove_stream(bench_engine_t *engine, bench_stream_t *stream, bool running)
 {
 	TAILQ_REMOVE(
 	    running ? &engine->running : &engine->waiting, stream, link);
@@ -229,7 +229,7 @@
 }
 
 static void
-drop_all(bench_engine_t *engine)
+remove_all(bench_engine_t *engine)
 {
 	free_list(&engine->waiting);
 	free_list(&engine->running);
--- a/bench/engine.h
+++ b/bench/engine.h
@@ -1,10 +1,10 @@
 /**
  * @file engine.h
- * @brief A fake model engine in virtual time.
+ * @brief A simulated model engine in virtual time.
  *
- * It behaves as docs/interfaces/ENGINE.md says of the stand-in: continuous
- * batching, steps that lengthen with what runs and with prefills, a waiting
- * queue in order of arrival without priorities, a prefix cache.
+ * It follows the stand-in of docs/interfaces/ENGINE.md: continuous batching,
+ * steps that take longer with more streams and with prefills, a FIFO queue
+ * without priorities, a prefix cache.
  */
 #ifndef BENCH_ENGINE_H
 #define BENCH_ENGINE_H
@@ -36,9 +36,9 @@
 	const bench_scenario_t *scenario;
 	bool alive;
 	bool leaving;
-	bool stepping; /**< a step is under way */
+	bool stepping; /**< a step is in progress */
 	uint64_t boot;
-	uint32_t epoch; /**< rises at each death: older steps are void */
+	uint32_t epoch; /**< rises at each kill: older steps are ignored */
 	double slow;
 	double fail_share;
 	uint64_t random;
@@ -48,37 +48,37 @@
 	uint32_t running_count;
 	uint64_t *cache;
 	int64_t idle_since_us;
-	double idle_tokens; /**< that steps had room for at no slow-down */
+	double idle_tokens; /**< that could have run without slowing a step */
 } bench_engine_t;
 
-/** Told of each stream's progress at the end of a step. */
+/** Called for each stream's progress at the end of a step. */
 typedef void
 bench_emit_t(void *ctx, const bench_stream_t *stream, jj_backend_kind_t kind);
 
 void engine_create(
     bench_engine_t *engine, const bench_scenario_t *scenario, uint64_t seed);
 void engine_destroy(bench_engine_t *engine);
-/** Takes a stream, which it owns from now on. */
+/** Queues a stream and takes ownership of it. */
 void engine_submit(bench_engine_t *engine, bench_stream_t *stream);
-/** Ends a stream; its tokens so far, -1 when there is none such. */
+/** Cancels a stream; returns its tokens so far, -1 when it is not found. */
 int64_t
 engine_cancel(bench_engine_t *engine, uint64_t request, uint32_t attempt);
 /**
- * Begins a step when something is to run.
+ * Begins a step when streams are waiting or running.
  * @param crashed set when a request that kills servers was admitted.
- * @return its length in microseconds, 0 when idle.
+ * @return the step's length in microseconds, 0 when no step begins.
  */
 int64_t
 engine_begin_step(bench_engine_t *engine, int64_t now_us, bool *crashed);
-/** Ends the step: each stream has one more token. */
+/** Ends the step: each running stream generates one token. */
 void engine_end_step(
     bench_engine_t *engine, int64_t now_us, bench_emit_t *emit, void *ctx);
-/** The process dies with all its streams. */
+/** Kills the process: all its streams break. */
 void engine_kill(
     bench_engine_t *engine, int64_t now_us, bench_emit_t *emit, void *ctx);
-/** A new process starts, with an empty cache. */
+/** Starts a new process with an empty cache. */
 void engine_restart(bench_engine_t *engine, int64_t now_us);
-/** Accounts for idle time up to now. */
-void engine_settle(bench_engine_t *engine, int64_t now_us);
+/** Adds the idle time up to now to idle_tokens. */
+void engine_count_idle(bench_engine_t *engine, int64_t now_us);
 
 #endif
--- a/bench/events.c
+++ b/bench/events.c
@@ -1,6 +1,6 @@
 /**
  * @file events.c
- * @brief A binary heap.
+ * @brief Priority queue of events as a binary heap.
  */
 #include <stdlib.h>
 
@@ -8,7 +8,7 @@
 
 static bool comes_before(const event_t *, const event_t *);
 static void swap(event_t *, event_t *);
-static void sink(events_t *, size_t);
+static void sift_down(events_t *, size_t);
 
 void
 events_destroy(events_t *events)
@@ -20,7 +20,7 @@
 void
 events_push(events_t *events, const event_t *event)
 {
-	size_t place = events->count;
+	size_t index = events->count;
 	size_t parent;
 
 	if (events->count == events->size) {
@@ -28,14 +28,14 @@
 		events->heap =
 		    jj_realloc(events->heap, events->size * sizeof(event_t));
 	}
-	events->heap[place] = *event;
-	events->heap[place].order = events->order++;
+	events->heap[index] = *event;
+	events->heap[index].order = events->order++;
 	events->count++;
-	for (; place > 0; place = parent) {
-		parent = (place - 1) / 2;
-		if (!comes_before(&events->heap[place], &events->heap[parent]))
+	for (; index > 0; index = parent) {
+		parent = (index - 1) / 2;
+		if (!comes_before(&events->heap[index], &events->heap[parent]))
 			break;
-		swap(&events->heap[place], &events->heap[parent]);
+		swap(&events->heap[index], &events->heap[parent]);
 	}
 }
 
@@ -47,7 +47,7 @@
 	*event = events->heap[0];
 	events->count--;
 	events->heap[0] = events->heap[events->count];
-	sink(events, 0);
+	sift_down(events, 0);
 	return true;
 }
 
@@ -62,25 +62,25 @@
 static void
 swap(event_t *a, event_t *b)
 {
-	event_t held = *a;
+	event_t saved = *a;
 
 	*a = *b;
-	*b = held;
+	*b = saved;
 }
 
 static void
-sink(events_t *events, size_t place)
+sift_down(events_t *events, size_t index)
 {
 	size_t child;
 
-	while ((child = 2 * place + 1) < events->count) {
+	while ((child = 2 * index + 1) < events->count) {
 		if (child + 1 < events->count &&
 		    comes_before(
 			&events->heap[child + 1], &events->heap[child]))
 			child++;
-		if (!comes_before(&events->heap[child], &events->heap[place]))
+		if (!comes_before(&events->heap[child], &events->heap[index]))
 			return;
-		swap(&events->heap[place], &events->heap[child]);
-		place = child;
+		swap(&events->heap[index], &events->heap[child]);
+		index = child;
 	}
 }
--- a/bench/events.h
+++ b/bench/events.h
@@ -1,6 +1,6 @@
 /**
  * @file events.h
- * @brief What will happen, ordered by virtual time.
+ * @brief Priority queue of events in order of virtual time.
  */
 #ifndef BENCH_EVENTS_H
 #define BENCH_EVENTS_H
@@ -8,23 +8,23 @@
 #include "core/dispatch.h"
 
 typedef enum {
-	EVENT_ARRIVAL, /**< index: of the caller's request */
-	EVENT_SUBMIT, /**< pointer: stream; target: server */
+	EVENT_ARRIVAL, /**< request: index of the call */
+	EVENT_SUBMIT, /**< pointer: the stream; target: server */
 	EVENT_CANCEL, /**< request, attempt; target: server */
-	EVENT_STEP, /**< target: server; attempt: its epoch */
-	EVENT_BACKEND, /**< kind, request, attempt; target: VM */
+	EVENT_STEP, /**< target: server; attempt: the engine's epoch */
+	EVENT_BACKEND, /**< backend, request, attempt; target: VM */
 	EVENT_TIMEOUT, /**< request, attempt; target: VM */
-	EVENT_MESSAGE, /**< pointer: message; target: VM */
+	EVENT_MESSAGE, /**< pointer: the message; target: VM */
 	EVENT_TICK, /**< target: VM */
 	EVENT_REPORT, /**< a load report; target: server */
-	EVENT_FAULT, /**< index: of the scenario's fault */
-	EVENT_CRASH, /**< a VM's probe sees a death; target: VM */
-	EVENT_UP, /**< a VM's probe sees a start; target: VM */
+	EVENT_FAULT, /**< request: index of the scenario's fault */
+	EVENT_CRASH, /**< a VM's probe finds a server down; target: VM */
+	EVENT_UP, /**< a VM's probe finds a server up; target: VM */
 } event_kind_t;
 
 typedef struct {
 	int64_t at_us;
-	uint64_t order; /**< events of the same time keep their order */
+	uint64_t order; /**< order of insertion, for events of the same time */
 	event_kind_t kind;
 	uint32_t target;
 	uint32_t server;
@@ -44,7 +44,7 @@
 
 void events_destroy(events_t *events);
 void events_push(events_t *events, const event_t *event);
-/** Takes the earliest; false when there is none. */
+/** Removes the earliest event; false when there is none. */
 bool events_pop(events_t *events, event_t *event);
 
 #endif
--- a/bench/figures.c
+++ b/bench/figures.c
@@ -1,6 +1,6 @@
 /**
  * @file figures.c
- * @brief What a run shows: streams by second, bytes sent, and sums of runs.
+ * @brief Figures of a run: streams by second, bytes sent; merging of runs.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -45,7 +45,7 @@
 	run->batch_running = NULL;
 }
 
-/* Nothing changes between two events, so one count stands for what is due. */
+/* No state changes between two events, so one count serves all overdue ones. */
 void
 figures_count_batch(world_t *world)
 {
@@ -55,8 +55,10 @@
 
 	if (run->second_count == 0)
 		return;
-	for (; world->count_us <= world->now_us; world->count_us += COUNT_US) {
-		second = (size_t)((world->count_us - WORLD_WARM_US) / 1000000);
+	for (; world->next_count_us <= world->now_us;
+	     world->next_count_us += COUNT_US) {
+		second = (size_t)((world->next_count_us - WORLD_WARM_UP_US) /
+		    1000000);
 		if (second >= run->second_count)
 			return;
 		for (i = 0; i < world->scenario->servers; i++)
@@ -65,13 +67,13 @@
 	}
 }
 
-/* What the warm-up sends is not counted. */
+/* Messages sent before batch is offered (warm-up) are not counted. */
 void
 figures_measure_message(world_t *world, const jj_message_t *message)
 {
 	jj_bytes_t bytes;
 
-	if (!world->scenario->measures_bytes || !world->batch_counts)
+	if (!world->scenario->measures_bytes || !world->batch_offered)
 		return;
 	bytes = jj_wire_encode(message);
 	world->run->sent[message->kind]++;
--- a/bench/hop/answer.c
+++ b/bench/hop/answer.c
@@ -1,6 +1,6 @@
 /**
  * @file answer.c
- * @brief Checks that an answer is whole and belongs to its own request.
+ * @brief Checks that an answer is complete and belongs to its request.
  */
 #include <inttypes.h>
 #include <stdio.h>
@@ -11,34 +11,34 @@
 
 #include "answer.h"
 
-/** Longest token of the stand-in engine with its number, bytes. */
-#define TOKEN_ROOM 32
+/** Buffer for the longest token of the stand-in engine with its number, bytes. */
+#define TOKEN_SIZE 32
 
-/** What an answer's text has been compared with so far. */
+/** Progress of the check of an answer's text. */
 typedef struct {
 	char hash[9]; /**< of the prompt, as in each token */
-	uint32_t tokens; /**< found right, in order */
+	uint32_t tokens; /**< correct ones so far, in order */
 	bool mixed;
-	bool odd;
+	bool malformed;
 } check_t;
 
-static answer_verdict_t judge_plain(const jj_bytes_t *, const char *);
+static answer_verdict_t check_plain(const jj_bytes_t *, const char *);
 static void check_whole(check_t *, const jj_bytes_t *);
 static bool check_stream(check_t *, const jj_bytes_t *);
 static void check_choice(check_t *, const json_t *);
 static void check_text(check_t *, const char *);
 
 answer_verdict_t
-answer_judge(answer_kind_t kind, const jj_bytes_t *body, const char *prompt,
+answer_check(answer_kind_t kind, const jj_bytes_t *body, const char *prompt,
     uint32_t tokens)
 {
 	check_t check = {{0}, 0, false, false};
 	bool ended = true;
 
 	if (body->size == 0)
-		return ANSWER_CUT;
+		return ANSWER_TRUNCATED;
 	if (kind == ANSWER_PLAIN)
-		return judge_plain(body, prompt);
+		return check_plain(body, prompt);
 	(void)snprintf(check.hash, sizeof(check.hash), "%08" PRIx32,
 	    (uint32_t)jj_hash_bytes(prompt, strlen(prompt), 0));
 	if (kind == ANSWER_WHOLE)
@@ -47,22 +47,23 @@
 		ended = check_stream(&check, body);
 	if (check.mixed)
 		return ANSWER_MIXED;
-	if (check.odd)
-		return ANSWER_ODD;
-	return ended && check.tokens == tokens ? ANSWER_RIGHT : ANSWER_CUT;
+	if (check.malformed)
+		return ANSWER_MALFORMED;
+	return ended && check.tokens == tokens ? ANSWER_CORRECT
+					       : ANSWER_TRUNCATED;
 }
 
 static answer_verdict_t
-judge_plain(const jj_bytes_t *body, const char *prompt)
+check_plain(const jj_bytes_t *body, const char *prompt)
 {
 	json_t *answer = json_loadb(body->data, body->size, 0, NULL);
 	const char *echo = json_string_value(
 	    json_object_get(json_object_get(answer, "echo"), "prompt"));
-	answer_verdict_t verdict = ANSWER_ODD;
+	answer_verdict_t verdict = ANSWER_MALFORMED;
 
 	if (echo != NULL)
 		verdict =
-		    strcmp(echo, prompt) == 0 ? ANSWER_RIGHT : ANSWER_MIXED;
+		    strcmp(echo, prompt) == 0 ? ANSWER_CORRECT : ANSWER_MIXED;
 	json_decref(answer);
 	return verdict;
 }
@@ -76,7 +77,7 @@
 	json_decref(answer);
 }
 
-/** True when the end mark was seen. */
+/** Returns true when the end marker was found. */
 static bool
 check_stream(check_t *check, const jj_bytes_t *body)
 {
@@ -107,7 +108,7 @@
 	const char *text;
 
 	if (object == NULL || choices == NULL) {
-		check->odd = true;
+		check->malformed = true;
 		return;
 	}
 	text = json_string_value(
@@ -119,7 +120,7 @@
 static void
 check_text(check_t *check, const char *text)
 {
-	char expected[TOKEN_ROOM];
+	char expected[TOKEN_SIZE];
 	size_t length;
 
 	while (*text != '\0') {
--- a/bench/hop/load.c
+++ b/bench/hop/load.c
@@ -1,6 +1,6 @@
 /**
  * @file load.c
- * @brief Sends requests at a rate, or so many at once, and times answers.
+ * @brief Sends requests at a rate or at a concurrency and times the answers.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -10,31 +10,31 @@
 
 #include "load.h"
 
-/** Room for a prompt and for a request's body, bytes. */
-#define PROMPT_ROOM 64
-#define BODY_ROOM 256
-/** Between looks at the hop's memory, microseconds. */
-#define LOOK_US 100000
-/** Start of the time that counts as full, microseconds after the last start
- * that filled all places: connections are made by then. */
+/** Buffer sizes of a prompt and of a request's body, bytes. */
+#define PROMPT_SIZE 64
+#define BODY_SIZE 256
+/** Interval between samples of the entry VM's memory, microseconds. */
+#define SAMPLE_US 100000
+/** Delay before full load is measured, microseconds after all requests that
+ * the plan allows were first open: connections are established by then. */
 #define SETTLE_US 1000000
-/** A request is given up after, seconds. */
-#define GIVE_UP_S 60L
+/** Timeout of a request, seconds. */
+#define REQUEST_TIMEOUT_S 60L
 
 typedef struct run run_t;
 
-/** A request under way; its handle is used again for the next one. */
+/** An open request; its handle is reused for the next one. */
 typedef struct exchange {
 	struct exchange *next_free;
 	run_t *run;
 	CURL *curl;
 	uint32_t target;
 	int64_t due_us;
-	int64_t first_us; /**< 0: nothing came yet */
-	char prompt[PROMPT_ROOM];
-	char body[BODY_ROOM];
+	int64_t first_us; /**< time of the first byte; 0: none yet */
+	char prompt[PROMPT_SIZE];
+	char body[BODY_SIZE];
 	jj_bytes_t answer;
-	size_t room;
+	size_t capacity;
 } exchange_t;
 
 struct run {
@@ -47,26 +47,28 @@
 	uint32_t started;
 	uint32_t ended;
 	uint32_t open;
-	uint64_t events; /**< bodies' parts that hold tokens */
+	uint64_t newlines; /**< newlines received; two per server-sent event */
 	int64_t begin_us;
-	int64_t next_look_us;
-	int64_t filled_us; /**< all places were taken first; 0: not yet */
+	int64_t next_sample_us;
+	int64_t
+	    filled_us; /**< plan->open requests were first open; 0: not yet */
 	usage_t full_before;
-	uint64_t full_events;
-	int64_t full_begin_us; /**< 0: not in full load */
+	uint64_t full_newlines;
+	int64_t
+	    full_begin_us; /**< start of the measurement at full load; 0: none */
 };
 
 static bool prepare(run_t *);
-static void drive(run_t *);
+static void run_requests(run_t *);
 static bool is_due(const run_t *, int64_t);
-static int64_t due_of(const run_t *, uint32_t);
+static int64_t due_time(const run_t *, uint32_t);
 static void start(run_t *);
 static void set_options(exchange_t *, const load_target_t *);
 static size_t take_bytes(char *, size_t, size_t, void *);
 static void finish_all(run_t *);
 static void finish(run_t *, exchange_t *, CURLcode);
-static void look(run_t *);
-static void look_at_full(run_t *, int64_t);
+static void sample_usage(run_t *);
+static void sample_full_load(run_t *, int64_t);
 static void wait_for_more(run_t *);
 static void clean_up(run_t *);
 static int compare(const void *, const void *);
@@ -90,7 +92,7 @@
 	}
 	result->before = usage_read(plan->pid);
 	run.begin_us = usage_now_us();
-	drive(&run);
+	run_requests(&run);
 	result->elapsed_us = usage_now_us() - run.begin_us;
 	result->after = usage_read(plan->pid);
 	clean_up(&run);
@@ -154,7 +156,7 @@
 }
 
 static void
-drive(run_t *run)
+run_requests(run_t *run)
 {
 	uint32_t all = run->plan->count * run->plan->target_count;
 	int running;
@@ -165,7 +167,7 @@
 			start(run);
 		(void)curl_multi_perform(run->multi, &running);
 		finish_all(run);
-		look(run);
+		sample_usage(run);
 		wait_for_more(run);
 	}
 }
@@ -173,12 +175,12 @@
 static bool
 is_due(const run_t *run, int64_t now_us)
 {
-	return now_us >= due_of(run, run->started);
+	return now_us >= due_time(run, run->started);
 }
 
-/** When a request is due, by its number; targets take turns. */
+/** Due time of a request by its number; requests alternate between targets. */
 static int64_t
-due_of(const run_t *run, uint32_t number)
+due_time(const run_t *run, uint32_t number)
 {
 	double rate = run->plan->rate * run->plan->target_count;
 
@@ -195,9 +197,9 @@
 
 	run->free = exchange->next_free;
 	exchange->target = run->started % plan->target_count;
-	/* A request that had to wait for its turn has waited all the same. */
+	/* Latency counts from the due time, so that a delayed start is included. */
 	exchange->due_us =
-	    plan->rate > 0 ? due_of(run, run->started) : usage_now_us();
+	    plan->rate > 0 ? due_time(run, run->started) : usage_now_us();
 	exchange->first_us = 0;
 	exchange->answer.size = 0;
 	(void)snprintf(exchange->prompt, sizeof(exchange->prompt),
@@ -211,8 +213,8 @@
 	(void)curl_multi_add_handle(run->multi, exchange->curl);
 	run->started++;
 	run->open++;
-	if (run->open > run->result->open_most)
-		run->result->open_most = run->open;
+	if (run->open > run->result->max_open)
+		run->result->max_open = run->open;
 }
 
 static void
@@ -230,7 +232,7 @@
 	(void)curl_easy_setopt(curl, CURLOPT_WRITEFUNCTION, take_bytes);
 	(void)curl_easy_setopt(curl, CURLOPT_WRITEDATA, exchange);
 	(void)curl_easy_setopt(curl, CURLOPT_PRIVATE, exchange);
-	(void)curl_easy_setopt(curl, CURLOPT_TIMEOUT, GIVE_UP_S);
+	(void)curl_easy_setopt(curl, CURLOPT_TIMEOUT, REQUEST_TIMEOUT_S);
 }
 
 static size_t
@@ -244,10 +246,10 @@
 
 	if (exchange->first_us == 0)
 		exchange->first_us = usage_now_us();
-	if (need > exchange->room) {
-		exchange->room = need * 2;
+	if (need > exchange->capacity) {
+		exchange->capacity = need * 2;
 		exchange->answer.data =
-		    jj_realloc(exchange->answer.data, exchange->room);
+		    jj_realloc(exchange->answer.data, exchange->capacity);
 	}
 	memcpy(exchange->answer.data + exchange->answer.size, data, more);
 	exchange->answer.size += more;
@@ -256,7 +258,7 @@
 		at = memchr(at, '\n', (size_t)(end - at));
 		if (at == NULL)
 			break;
-		exchange->run->events++;
+		exchange->run->newlines++;
 	}
 	return more;
 }
@@ -301,45 +303,45 @@
 		outcome->refused++;
 		return;
 	}
-	switch (answer_judge(run->plan->kind, &exchange->answer,
+	switch (answer_check(run->plan->kind, &exchange->answer,
 	    exchange->prompt, run->plan->tokens)) {
-	case ANSWER_RIGHT:
+	case ANSWER_CORRECT:
 		outcome->first_us[outcome->answered] =
 		    exchange->first_us - exchange->due_us;
 		outcome->whole_us[outcome->answered++] =
 		    now_us - exchange->due_us;
 		outcome->tokens += run->plan->tokens;
 		break;
-	case ANSWER_CUT:
+	case ANSWER_TRUNCATED:
 		outcome->lost++;
 		break;
 	case ANSWER_MIXED:
 		outcome->mixed++;
 		break;
-	case ANSWER_ODD:
-		outcome->odd++;
+	case ANSWER_MALFORMED:
+		outcome->malformed++;
 		break;
 	}
 }
 
 static void
-look(run_t *run)
+sample_usage(run_t *run)
 {
 	int64_t now_us = usage_now_us();
 	usage_t usage;
 
-	if (run->plan->pid == 0 || now_us < run->next_look_us)
+	if (run->plan->pid == 0 || now_us < run->next_sample_us)
 		return;
-	run->next_look_us = now_us + LOOK_US;
+	run->next_sample_us = now_us + SAMPLE_US;
 	usage = usage_read(run->plan->pid);
-	if (usage.rss_kb > run->result->rss_most_kb)
-		run->result->rss_most_kb = usage.rss_kb;
-	look_at_full(run, now_us);
+	if (usage.rss_kb > run->result->max_rss_kb)
+		run->result->max_rss_kb = usage.rss_kb;
+	sample_full_load(run, now_us);
 }
 
-/** The time in which all places are taken, without start and end. */
+/** Measures the time at full load, without its ramp-up and its end. */
 static void
-look_at_full(run_t *run, int64_t now_us)
+sample_full_load(run_t *run, int64_t now_us)
 {
 	load_result_t *result = run->result;
 	bool is_full = run->open == run->plan->open;
@@ -355,7 +357,7 @@
 			return;
 		run->full_begin_us = now_us;
 		run->full_before = usage_read(run->plan->pid);
-		run->full_events = run->events;
+		run->full_newlines = run->newlines;
 		return;
 	}
 	if (!is_full)
@@ -363,21 +365,21 @@
 	usage = usage_read(run->plan->pid);
 	result->full_us = now_us - run->full_begin_us;
 	result->full_cpu_us = usage.cpu_us - run->full_before.cpu_us;
-	/* An event is a line and an empty line. */
-	result->full_tokens = (run->events - run->full_events) / 2;
+	/* A server-sent event is a line and an empty line. */
+	result->full_tokens = (run->newlines - run->full_newlines) / 2;
 }
 
-/** Sleeps until bytes come or the next request is due, in whole ms. */
+/** Waits until bytes arrive or the next request is due, in whole ms. */
 static void
 wait_for_more(run_t *run)
 {
 	uint32_t all = run->plan->count * run->plan->target_count;
-	int64_t wait_us = LOOK_US;
+	int64_t wait_us = SAMPLE_US;
 
 	if (run->started < all && run->free != NULL)
-		wait_us = due_of(run, run->started) - usage_now_us();
-	if (wait_us > LOOK_US)
-		wait_us = LOOK_US;
+		wait_us = due_time(run, run->started) - usage_now_us();
+	if (wait_us > SAMPLE_US)
+		wait_us = SAMPLE_US;
 	if (wait_us >= 1000)
 		(void)curl_multi_poll(
 		    run->multi, NULL, 0, (int)(wait_us / 1000), NULL);
--- a/bench/hop/main.c
+++ b/bench/hop/main.c
@@ -1,9 +1,10 @@
 /**
  * @file main.c
- * @brief jujube-hop: what the way through an entry VM costs.
+ * @brief jujube-hop: measures the cost of the hop through an entry VM.
  *
- * Starts nothing: scripts/bench-hop does. Prints one key=value line for each
- * target and one for the hop; ends with 1 when an answer was lost or mixed.
+ * It starts no processes; scripts/bench-hop does. Prints one key=value line
+ * for each target and one for the hop; exit status 1 when a request did not
+ * get its correct answer.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -66,23 +67,23 @@
 {
 	const GOptionEntry entries[] = {
 	    {"name", 0, 0, G_OPTION_ARG_STRING, &options->name,
-		"of the run, printed", "NAME"},
+		"name of the run, printed", "NAME"},
 	    {"direct", 0, 0, G_OPTION_ARG_STRING, &options->direct,
-		"the backend server itself", "URL"},
+		"URL of the backend server", "URL"},
 	    {"hop", 0, 0, G_OPTION_ARG_STRING, &options->hop,
-		"the same through an entry VM", "URL"},
-	    {"kind", 0, 0, G_OPTION_ARG_STRING, &options->kind, "of answer",
-		"plain|whole|stream"},
+		"URL of the same service through an entry VM", "URL"},
+	    {"kind", 0, 0, G_OPTION_ARG_STRING, &options->kind,
+		"kind of answer", "plain|whole|stream"},
 	    {"model", 0, 0, G_OPTION_ARG_STRING, &options->model,
 		"service of a completion", "NAME"},
 	    {"rate", 0, 0, G_OPTION_ARG_DOUBLE, &options->rate,
-		"per second and target; 0: no pacing", "N"},
+		"requests per second and target; 0: no pacing", "N"},
 	    {"open", 0, 0, G_OPTION_ARG_INT, &options->open,
-		"most requests open at once", "N"},
+		"maximum of requests open at once", "N"},
 	    {"count", 0, 0, G_OPTION_ARG_INT, &options->count,
 		"requests per target", "N"},
 	    {"tokens", 0, 0, G_OPTION_ARG_INT, &options->tokens,
-		"of each completion", "N"},
+		"tokens of each completion", "N"},
 	    {"pid", 0, 0, G_OPTION_ARG_INT, &options->pid,
 		"process of the entry VM, to be measured", "PID"},
 	    G_OPTION_ENTRY_NULL,
@@ -140,7 +141,7 @@
 		     "odd=%u first_p50_us=%lld first_p99_us=%lld "
 		     "whole_p50_us=%lld whole_p99_us=%lld\n",
 	    options->name != NULL ? options->name : "hop", target->name, n,
-	    outcome->refused, outcome->lost, outcome->mixed, outcome->odd,
+	    outcome->refused, outcome->lost, outcome->mixed, outcome->malformed,
 	    (long long)load_quantile(outcome->first_us, n, 0.5),
 	    (long long)load_quantile(outcome->first_us, n, 0.99),
 	    (long long)load_quantile(outcome->whole_us, n, 0.5),
@@ -159,7 +160,7 @@
 	(void)printf("run=%s seconds=%.1f open_most=%u requests_per_s=%.0f "
 		     "tokens_per_s=%.0f",
 	    options->name != NULL ? options->name : "hop", seconds,
-	    result->open_most, hop->answered / seconds,
+	    result->max_open, hop->answered / seconds,
 	    (double)hop->tokens / seconds);
 	if (plan->target_count == 2) {
 		print_added("first", direct->first_us, direct->answered,
@@ -175,7 +176,7 @@
 		    (double)cpu_us / (double)hop->tokens,
 		    (double)cpu_us / (double)result->elapsed_us,
 		    (long long)result->before.rss_kb,
-		    (long long)result->rss_most_kb);
+		    (long long)result->max_rss_kb);
 	if (plan->pid != 0 && result->full_us > 0)
 		(void)printf(" full_s=%.1f full_tokens_per_s=%.0f "
 			     "full_cpu_share=%.3f",
--- a/bench/hop/usage.h
+++ b/bench/hop/usage.h
@@ -12,9 +12,9 @@
 	int64_t rss_kb; /**< resident memory, KiB */
 } usage_t;
 
-/** Reads a process's usage; all zero for pid 0 or a process that is gone. */
+/** Reads a process's usage; all zero for pid 0 or a process that has ended. */
 usage_t usage_read(int pid);
-/** Microseconds of the monotonic clock. */
+/** Returns the monotonic clock in microseconds. */
 int64_t usage_now_us(void);
 
 #endif
--- a/bench/main.c
+++ b/bench/main.c
@@ -14,8 +14,8 @@
 #include "plot.h"
 #include "report.h"
 
-#define WHY_SIZE 256
-/* Fixed caps that are tried in search of the best one. */
+#define ERROR_SIZE 256
+/* Fixed caps of batch streams that the baseline search tries. */
 static const uint32_t CAPS[] = {1, 2, 3, 4, 6, 8, 10, 12, 14, 16};
 
 typedef struct {
@@ -29,7 +29,7 @@
 	gboolean messages;
 	gboolean line;
 	gboolean series;
-	gdouble trade; /* NAN: the scenario's */
+	gdouble trade; /* NAN: use the scenario's value */
 } options_t;
 
 static bool parse_options(options_t *, int *, char ***);
@@ -50,7 +50,7 @@
 static bool check_scenario(
     const options_t *, const char *, const char *, const jj_toml_node_t *);
 static bool check_bound(const char *, const char *, double, double, bool);
-static double bound_of(const jj_toml_node_t *, const char *, double);
+static double bound_or_fallback(const jj_toml_node_t *, const char *, double);
 static int compare_names(gconstpointer, gconstpointer);
 
 int
@@ -85,10 +85,9 @@
 	    {"policy", 0, 0, G_OPTION_ARG_STRING, &options->policy,
 		"jujube (default), none, fcfs or cap=N", "POLICY"},
 	    {"seed", 0, 0, G_OPTION_ARG_INT64, &options->seed,
-		"in place of the scenario's", "N"},
+		"replaces the scenario's seed", "N"},
 	    {"runs", 0, 0, G_OPTION_ARG_INT, &options->runs,
-		"seeds in a row whose calls are taken together (default 1)",
-		"N"},
+		"consecutive seeds whose calls are merged (default 1)", "N"},
 	    {"json", 0, 0, G_OPTION_ARG_NONE, &options->json, "print JSON",
 		NULL},
 	    {"line", 0, 0, G_OPTION_ARG_NONE, &options->line,
@@ -96,15 +95,14 @@
 	    {"series", 0, 0, G_OPTION_ARG_NONE, &options->series,
 		"print a line for each second of the scenario", NULL},
 	    {"trade", 0, 0, G_OPTION_ARG_DOUBLE, &options->trade,
-		"in place of the scenario's, 0 to 1", "X"},
+		"replaces the scenario's trade, 0 to 1", "X"},
 	    {"all", 0, 0, G_OPTION_ARG_FILENAME, &options->all,
 		"run all scenarios of a folder against the baselines", "DIR"},
 	    {"check", 0, 0, G_OPTION_ARG_FILENAME, &options->check,
-		"run what a file of bounds names; status 1 on a breach",
+		"run the scenarios of a bounds file; status 1 on a breach",
 		"FILE"},
 	    {"messages", 0, 0, G_OPTION_ARG_NONE, &options->messages,
-		"measure what VMs tell each other; status 1 over the budget",
-		NULL},
+		"measure messages between VMs; status 1 over the budget", NULL},
 	    {NULL, 0, 0, 0, NULL, NULL, NULL}};
 	GOptionContext *context = g_option_context_new(NULL);
 	GError *error = NULL;
@@ -147,7 +145,7 @@
 	return true;
 }
 
-/* One seed's tail is a few calls; several seeds' calls are taken together. */
+/* A seed has few calls in its tail, so calls of several seeds are merged. */
 static void
 run_seeds(const bench_scenario_t *scenario, const policy_t *policy, run_t *sum)
 {
@@ -199,11 +197,12 @@
 run_one(const options_t *options)
 {
 	bench_scenario_t scenario;
-	char why[WHY_SIZE];
+	char error[ERROR_SIZE];
 	policy_t policy;
 
-	if (!scenario_load(&scenario, options->scenario, why, sizeof(why))) {
-		fprintf(stderr, "%s\n", why);
+	if (!scenario_load(
+		&scenario, options->scenario, error, sizeof(error))) {
+		fprintf(stderr, "%s\n", error);
 		return 2;
 	}
 	if (!parse_policy(options->policy, &scenario, &policy)) {
@@ -212,7 +211,8 @@
 	}
 	set_seeds(&scenario, options);
 	if (!set_trade(&scenario, options)) {
-		fprintf(stderr, "trade is %g, it is 0 to 1\n", options->trade);
+		fprintf(
+		    stderr, "trade is %g, it must be 0 to 1\n", options->trade);
 		return 2;
 	}
 	if (options->series)
@@ -240,14 +240,14 @@
 {
 	const policy_t none = {POLICY_NONE, 0};
 	const char *name = options->policy ? options->policy : "jujube";
-	figures_t own;
+	figures_t measured;
 	figures_t reference;
 	comparison_t comparison;
 	json_t *json;
 
 	run_figures(scenario, &none, &reference);
-	run_figures(scenario, policy, &own);
-	report_compare(scenario, &own, &reference, &comparison);
+	run_figures(scenario, policy, &measured);
+	report_compare(scenario, &measured, &reference, &comparison);
 	if (options->line) {
 		report_print_line(scenario->name, name, &comparison);
 		return;
@@ -269,7 +269,7 @@
 	GPtrArray *paths = g_ptr_array_new_with_free_func(g_free);
 	bench_scenario_t scenario;
 	const char *entry;
-	char why[WHY_SIZE];
+	char error[ERROR_SIZE];
 	int status = 0;
 	guint i;
 
@@ -282,12 +282,12 @@
 	report_print_line(NULL, NULL, NULL);
 	for (i = 0; i < paths->len; i++) {
 		if (scenario_load(
-			&scenario, paths->pdata[i], why, sizeof(why))) {
+			&scenario, paths->pdata[i], error, sizeof(error))) {
 			set_seeds(&scenario, options);
 			run_table(&scenario);
 			continue;
 		}
-		fprintf(stderr, "%s\n", why);
+		fprintf(stderr, "%s\n", error);
 		status = 2;
 	}
 	g_ptr_array_free(paths, TRUE);
@@ -302,14 +302,14 @@
 	const policy_t none = {POLICY_NONE, 0};
 	const policy_t jujube = {POLICY_JUJUBE, 0};
 	figures_t reference;
-	figures_t own;
+	figures_t measured;
 	comparison_t comparison;
 
 	run_figures(scenario, &none, &reference);
 	report_compare(scenario, &reference, &reference, &comparison);
 	report_print_line(scenario->name, "none", &comparison);
-	run_figures(scenario, &jujube, &own);
-	report_compare(scenario, &own, &reference, &comparison);
+	run_figures(scenario, &jujube, &measured);
+	report_compare(scenario, &measured, &reference, &comparison);
 	report_print_line(scenario->name, "jujube", &comparison);
 	run_baselines(scenario, &reference);
 	(void)fflush(stdout);
@@ -321,17 +321,17 @@
 	policy_t policy = {POLICY_CAP, scenario->slots};
 	comparison_t comparison;
 	comparison_t best = {0};
-	figures_t own;
+	figures_t measured;
 	char name[16];
 	size_t i;
 
-	run_figures(scenario, &policy, &own);
-	report_compare(scenario, &own, reference, &comparison);
+	run_figures(scenario, &policy, &measured);
+	report_compare(scenario, &measured, reference, &comparison);
 	report_print_line(scenario->name, "fcfs", &comparison);
 	for (i = 0; i < sizeof(CAPS) / sizeof(CAPS[0]); i++) {
 		policy.cap = CAPS[i];
-		run_figures(scenario, &policy, &own);
-		report_compare(scenario, &own, reference, &comparison);
+		run_figures(scenario, &policy, &measured);
+		report_compare(scenario, &measured, reference, &comparison);
 		if (i > 0 && comparison.score <= best.score)
 			continue;
 		best = comparison;
@@ -340,21 +340,21 @@
 	report_print_line(scenario->name, name, &best);
 }
 
-/* Bounds: one table per scenario, named as its file without the suffix. */
+/* The bounds file has one table per scenario, named as its file without .toml. */
 static int
 check_bounds(const options_t *options)
 {
-	char why[WHY_SIZE];
-	jj_toml_t *toml = jj_toml_load(options->check, why, sizeof(why));
+	char error[ERROR_SIZE];
+	jj_toml_t *toml = jj_toml_load(options->check, error, sizeof(error));
 	char *folder = g_path_get_dirname(options->check);
 	const jj_toml_node_t *root;
 	char *path;
 	char *file;
-	bool held = true;
+	bool within_bound = true;
 	size_t i;
 
 	if (toml == NULL) {
-		fprintf(stderr, "%s\n", why);
+		fprintf(stderr, "%s\n", error);
 		g_free(folder);
 		return 2;
 	}
@@ -362,14 +362,14 @@
 	for (i = 0; i < jj_toml_count(root); i++) {
 		file = g_strconcat(jj_toml_key_at(root, i), ".toml", NULL);
 		path = g_build_filename(folder, file, NULL);
-		held &= check_scenario(options, jj_toml_key_at(root, i), path,
-		    jj_toml_at(root, i));
+		within_bound &= check_scenario(options, jj_toml_key_at(root, i),
+		    path, jj_toml_at(root, i));
 		g_free(path);
 		g_free(file);
 	}
 	g_free(folder);
 	jj_toml_destroy(toml);
-	return held ? 0 : 1;
+	return within_bound ? 0 : 1;
 }
 
 static bool
@@ -380,51 +380,55 @@
 	const policy_t jujube = {POLICY_JUJUBE, 0};
 	bench_scenario_t scenario;
 	figures_t reference;
-	figures_t own;
-	comparison_t got;
-	char why[WHY_SIZE];
-	bool held = true;
+	figures_t measured;
+	comparison_t comparison;
+	char error[ERROR_SIZE];
+	bool within_bound = true;
 
-	if (!scenario_load(&scenario, path, why, sizeof(why))) {
-		fprintf(stderr, "%s\n", why);
+	if (!scenario_load(&scenario, path, error, sizeof(error))) {
+		fprintf(stderr, "%s\n", error);
 		return false;
 	}
 	set_seeds(&scenario, options);
 	run_figures(&scenario, &none, &reference);
-	run_figures(&scenario, &jujube, &own);
-	report_compare(&scenario, &own, &reference, &got);
-	held &= check_bound(name, "first_p99_ratio", got.first_ratio[2],
-	    bound_of(bounds, "first_p99_ratio", HUGE_VAL), true);
-	held &= check_bound(name, "whole_p99_ratio", got.whole_ratio[2],
-	    bound_of(bounds, "whole_p99_ratio", HUGE_VAL), true);
-	held &= check_bound(name, "others_first_p99_ms", own.others_first.ms[2],
-	    bound_of(bounds, "others_first_p99_ms", HUGE_VAL), true);
-	held &= check_bound(name, "refused", own.refused,
-	    bound_of(bounds, "refused", HUGE_VAL), true);
-	held &= check_bound(name, "retried", own.retried,
-	    bound_of(bounds, "retried", HUGE_VAL), true);
-	held &= check_bound(name, "unanswered", own.open, 0, true);
-	held &= check_bound(
-	    name, "used", got.used, bound_of(bounds, "used", 0), false);
-	return held;
+	run_figures(&scenario, &jujube, &measured);
+	report_compare(&scenario, &measured, &reference, &comparison);
+	within_bound &=
+	    check_bound(name, "first_p99_ratio", comparison.first_ratio[2],
+		bound_or_fallback(bounds, "first_p99_ratio", HUGE_VAL), true);
+	within_bound &=
+	    check_bound(name, "whole_p99_ratio", comparison.whole_ratio[2],
+		bound_or_fallback(bounds, "whole_p99_ratio", HUGE_VAL), true);
+	within_bound &= check_bound(name, "others_first_p99_ms",
+	    measured.others_first.ms[2],
+	    bound_or_fallback(bounds, "others_first_p99_ms", HUGE_VAL), true);
+	within_bound &= check_bound(name, "refused", measured.refused,
+	    bound_or_fallback(bounds, "refused", HUGE_VAL), true);
+	within_bound &= check_bound(name, "retried", measured.retried,
+	    bound_or_fallback(bounds, "retried", HUGE_VAL), true);
+	within_bound &= check_bound(name, "unanswered", measured.open, 0, true);
+	within_bound &= check_bound(name, "used", comparison.used,
+	    bound_or_fallback(bounds, "used", 0), false);
+	return within_bound;
 }
 
 static bool
 check_bound(const char *name, const char *what, double value, double bound,
     bool at_most)
 {
-	bool held = at_most ? value <= bound : value >= bound;
+	bool within_bound = at_most ? value <= bound : value >= bound;
 
 	printf("scenario=%s figure=%s value=%.4f bound=%.4f held=%s\n", name,
-	    what, value, bound, held ? "yes" : "no");
-	return held;
+	    what, value, bound, within_bound ? "yes" : "no");
+	return within_bound;
 }
 
 static double
-bound_of(const jj_toml_node_t *bounds, const char *key, double otherwise)
+bound_or_fallback(
+    const jj_toml_node_t *bounds, const char *key, double fallback)
 {
 	const jj_toml_node_t *node = jj_toml_find(bounds, key);
-	double value = otherwise;
+	double value = fallback;
 
 	if (node != NULL)
 		(void)jj_toml_get_real(node, &value);
--- a/bench/messages.c
+++ b/bench/messages.c
@@ -1,32 +1,32 @@
 /**
  * @file messages.c
- * @brief What the VMs of one failure domain tell each other, in bytes.
+ * @brief Bytes of the messages between the VMs of one failure domain.
  *
- * The sizes are those of the target in two years (docs/CAPACITY.md): a
- * domain's 100 servers, 40 online requests a second at each VM with some 425
- * tokens each, and batch beside them.
+ * The sizes are those of the two-year target (docs/CAPACITY.md): 100 servers
+ * per domain, 40 online requests per second at each VM with about 425 tokens
+ * each, and batch at the same time.
  */
 #include <stdio.h>
 
 #include "messages.h"
 #include "world.h"
 
-#define VMS_LEAST 2
-#define VMS_MOST 14
+#define VMS_MIN 2
+#define VMS_MAX 14
 #define SERVERS 100
 #define RATE_PER_VM 40.0
 #define TOKENS 425
-/* Streams have filled the servers by then. */
-#define FROM_S 8.0
+/* Start of measurement: the servers are filled with streams by then. */
+#define MEASURE_FROM_S 8.0
 #define SECONDS 18.0
-/* What a VM may send and receive for control, bytes a second. */
-#define BUDGET 27000.0
-/* ZeroMQ's frame, TCP and IP headers of a message that travels alone. */
-#define HEADERS 56
+/* Maximum control traffic that a VM sends and receives, bytes per second. */
+#define BUDGET_BYTES_PER_S 27000.0
+/* ZeroMQ frame, TCP and IP headers of a message that is sent by itself. */
+#define HEADER_BYTES 56
 
 typedef struct {
-	double messages; /**< a second and VM */
-	double heartbeat; /**< bytes a second and VM, encoded */
+	double messages; /**< per second and VM */
+	double heartbeat; /**< bytes per second and VM, encoded */
 	double load;
 	double other;
 	double total; /**< with headers */
@@ -39,15 +39,15 @@
 int
 messages_measure(void)
 {
-	double vms[VMS_MOST];
-	double totals[VMS_MOST];
+	double vms[VMS_MAX];
+	double totals[VMS_MAX];
 	traffic_t traffic;
 	int count = 0;
 	int status = 0;
 	uint32_t i;
 
 	printf("vms messages/s heartbeat-B/s load-B/s other-B/s total-B/s\n");
-	for (i = VMS_LEAST; i <= VMS_MOST; i += 2) {
+	for (i = VMS_MIN; i <= VMS_MAX; i += 2) {
 		measure(i, &traffic);
 		printf("%u %.1f %.0f %.0f %.0f %.0f\n", i, traffic.messages,
 		    traffic.heartbeat, traffic.load, traffic.other,
@@ -55,13 +55,14 @@
 		(void)fflush(stdout);
 		vms[count] = i;
 		totals[count++] = traffic.total;
-		/* What one VM sends another receives: it spends both. */
-		if (2 * traffic.total > BUDGET)
+		/* Each VM also receives what another sends, hence twice. */
+		if (2 * traffic.total > BUDGET_BYTES_PER_S)
 			status = 1;
 	}
 	print_slope(vms, totals, count);
-	printf("budget=%.0f sent_and_received=%.0f held=%s\n", BUDGET,
-	    2 * totals[count - 1], status == 0 ? "yes" : "no");
+	printf("budget=%.0f sent_and_received=%.0f held=%s\n",
+	    BUDGET_BYTES_PER_S, 2 * totals[count - 1],
+	    status == 0 ? "yes" : "no");
 	return status;
 }
 
@@ -74,7 +75,7 @@
 	scenario->vms = vms;
 	scenario->servers = SERVERS;
 	scenario->seconds = SECONDS;
-	scenario->batch_from_s = FROM_S;
+	scenario->batch_from_s = MEASURE_FROM_S;
 	scenario->trade = 0.5;
 	scenario->slots = 128;
 	scenario->soft = 64;
@@ -96,7 +97,7 @@
 measure(uint32_t vms, traffic_t *traffic)
 {
 	const policy_t jujube = {POLICY_JUJUBE, 0};
-	double share = 1 / (vms * (SECONDS - FROM_S));
+	double share = 1 / (vms * (SECONDS - MEASURE_FROM_S));
 	bench_scenario_t scenario;
 	run_t run;
 	int i;
@@ -112,11 +113,11 @@
 	    (double)run.sent_bytes[JJ_MESSAGE_HEARTBEAT] * share;
 	traffic->load = (double)run.sent_bytes[JJ_MESSAGE_LOAD] * share;
 	traffic->other = traffic->total - traffic->heartbeat - traffic->load;
-	traffic->total += traffic->messages * HEADERS;
+	traffic->total += traffic->messages * HEADER_BYTES;
 	run_destroy(&run);
 }
 
-/* Least squares. */
+/* Prints the least-squares line through the points. */
 static void
 print_slope(const double *x, const double *y, int count)
 {
--- a/bench/plot.c
+++ b/bench/plot.c
@@ -9,7 +9,7 @@
 #include "report.h"
 
 #define SECOND_US 1000000
-/* Place of the p99 among the quantiles of a report. */
+/* Index of the p99 among the quantiles of a report. */
 #define P99 2
 
 /* The calls that arrive within one second. */
@@ -30,7 +30,7 @@
 
 	printf("# second arrivals_per_s first_p99_ms unanswered batch\n");
 	for (i = 0; i < run->second_count; i++) {
-		from_us = WORLD_WARM_US + (int64_t)i * SECOND_US;
+		from_us = WORLD_WARM_UP_US + (int64_t)i * SECOND_US;
 		calls = count_arrivals(run, from_us);
 		report_first_token(run, from_us, from_us + SECOND_US, &first);
 		printf("%zu %.2f %.3f %.4f %.2f\n", i,
--- a/bench/random.c
+++ b/bench/random.c
@@ -1,6 +1,6 @@
 /**
  * @file random.c
- * @brief splitmix64 and what is drawn from it.
+ * @brief splitmix64 and distributions drawn from it.
  */
 #include <math.h>
 
--- a/bench/random.h
+++ b/bench/random.h
@@ -7,11 +7,11 @@
 
 #include <stdint.h>
 
-/** The next number of a sequence (splitmix64). */
+/** Returns the next number of the sequence (splitmix64). */
 uint64_t random_next(uint64_t *state);
-/** Evenly in [0, 1). */
+/** Uniform in [0, 1). */
 double random_share(uint64_t *state);
-/** Exponential with a mean. */
+/** Exponentially distributed with the given mean. */
 double random_exponential(uint64_t *state, double mean);
 
 #endif
--- a/bench/report.c
+++ b/bench/report.c
@@ -26,8 +26,8 @@
 static bool sample_of(const call_t *, sample_t, double *);
 static int compare_doubles(const void *, const void *);
 static void
-count_ends(const bench_scenario_t *, const run_t *, int64_t, figures_t *);
-static double prefill_tokens(const bench_scenario_t *);
+count_outcomes(const bench_scenario_t *, const run_t *, int64_t, figures_t *);
+static double prefill_cost_tokens(const bench_scenario_t *);
 static json_t *quantiles_json(const quantiles_t *, const double *);
 
 void
@@ -41,10 +41,10 @@
 	quantiles_of(run, from_us, INT64_MAX, SAMPLE_WHOLE, &figures->whole);
 	quantiles_of(run, from_us, INT64_MAX, SAMPLE_OTHERS_FIRST,
 	    &figures->others_first);
-	count_ends(scenario, run, from_us, figures);
+	count_outcomes(scenario, run, from_us, figures);
 	figures->batch_done = run->batch_done;
 	figures->batch_tokens = (double)run->batch_tokens +
-	    (double)run->batch_done * prefill_tokens(scenario);
+	    (double)run->batch_done * prefill_cost_tokens(scenario);
 	figures->idle_tokens = run->idle_tokens;
 	figures->withdrawn = run->batch_withdrawn;
 	figures->messages = run->messages;
@@ -62,26 +62,27 @@
 }
 
 void
-report_compare(const bench_scenario_t *scenario, const figures_t *own,
+report_compare(const bench_scenario_t *scenario, const figures_t *measured,
     const figures_t *reference, comparison_t *comparison)
 {
 	double worst;
 	int i;
 
 	memset(comparison, 0, sizeof(*comparison));
-	comparison->own = *own;
+	comparison->measured = *measured;
 	for (i = 0; i < REPORT_QUANTILES; i++) {
 		comparison->first_ratio[i] =
-		    own->first.ms[i] / reference->first.ms[i];
+		    measured->first.ms[i] / reference->first.ms[i];
 		comparison->whole_ratio[i] =
-		    own->whole.ms[i] / reference->whole.ms[i];
+		    measured->whole.ms[i] / reference->whole.ms[i];
 	}
 	worst = comparison->first_ratio[2];
 	if (comparison->whole_ratio[2] > worst)
 		worst = comparison->whole_ratio[2];
 	comparison->harm = worst > 1 ? worst - 1 : 0;
 	if (reference->idle_tokens > 0)
-		comparison->used = own->batch_tokens / reference->idle_tokens;
+		comparison->used =
+		    measured->batch_tokens / reference->idle_tokens;
 	comparison->score =
 	    comparison->used - scenario->harm_weight * comparison->harm;
 }
@@ -90,7 +91,7 @@
 report_print_line(
     const char *scenario, const char *policy, const comparison_t *comparison)
 {
-	const figures_t *own;
+	const figures_t *measured;
 
 	if (comparison == NULL) {
 		printf("%-18s %-8s %9s %9s %7s %7s %7s %7s %6s %6s %6s %6s "
@@ -100,58 +101,60 @@
 		    "late", "retry", "score");
 		return;
 	}
-	own = &comparison->own;
+	measured = &comparison->measured;
 	printf("%-18s %-8s %9.0f %9.0f %7.3f %7.3f %7.3f %7.3f %6.3f %6.3f "
 	       "%6.4f %6.4f %6.4f %8.3f\n",
-	    scenario, policy, own->first.ms[2], own->whole.ms[2],
+	    scenario, policy, measured->first.ms[2], measured->whole.ms[2],
 	    comparison->first_ratio[2], comparison->whole_ratio[2],
 	    comparison->first_ratio[3], comparison->whole_ratio[3],
-	    comparison->used, own->lost, own->refused, own->late, own->retried,
-	    comparison->score);
+	    comparison->used, measured->lost, measured->refused, measured->late,
+	    measured->retried, comparison->score);
 }
 
 void
 report_print(
     const char *scenario, const char *policy, const comparison_t *comparison)
 {
-	const figures_t *own = &comparison->own;
+	const figures_t *measured = &comparison->measured;
 	int i;
 
 	printf("%s under %s: %llu calls\n", scenario, policy,
-	    (unsigned long long)own->calls);
+	    (unsigned long long)measured->calls);
 	for (i = 0; i < REPORT_QUANTILES; i++)
 		printf("  %-6s first token %8.1f ms (x%.3f)  whole answer "
 		       "%8.1f ms (x%.3f)  others' first %8.1f ms\n",
-		    NAMES[i], own->first.ms[i], comparison->first_ratio[i],
-		    own->whole.ms[i], comparison->whole_ratio[i],
-		    own->others_first.ms[i]);
+		    NAMES[i], measured->first.ms[i], comparison->first_ratio[i],
+		    measured->whole.ms[i], comparison->whole_ratio[i],
+		    measured->others_first.ms[i]);
 	printf("  refused %.4f late %.4f retried %.4f unanswered %.4f\n",
-	    own->refused, own->late, own->retried, own->open);
+	    measured->refused, measured->late, measured->retried,
+	    measured->open);
 	printf("  batch items %llu, used %.3f of idle, withdrawn %llu, lost "
 	       "%.3f, messages %llu, score %.3f\n",
-	    (unsigned long long)own->batch_done, comparison->used,
-	    (unsigned long long)own->withdrawn, own->lost,
-	    (unsigned long long)own->messages, comparison->score);
+	    (unsigned long long)measured->batch_done, comparison->used,
+	    (unsigned long long)measured->withdrawn, measured->lost,
+	    (unsigned long long)measured->messages, comparison->score);
 }
 
 json_t *
 report_json(
     const char *scenario, const char *policy, const comparison_t *comparison)
 {
-	const figures_t *own = &comparison->own;
+	const figures_t *measured = &comparison->measured;
 
 	return json_pack(
 	    "{s:s,s:s,s:I,s:o,s:o,s:f,s:f,s:f,s:f,s:I,s:I,s:f,s:f,s:f,s:I}",
 	    "scenario", scenario, "policy", policy, "calls",
-	    (json_int_t)own->calls, "first_token",
-	    quantiles_json(&own->first, comparison->first_ratio),
+	    (json_int_t)measured->calls, "first_token",
+	    quantiles_json(&measured->first, comparison->first_ratio),
 	    "whole_answer",
-	    quantiles_json(&own->whole, comparison->whole_ratio), "refused",
-	    own->refused, "late", own->late, "retried", own->retried,
-	    "unanswered", own->open, "batch_items", (json_int_t)own->batch_done,
-	    "withdrawn", (json_int_t)own->withdrawn, "lost", own->lost, "used",
+	    quantiles_json(&measured->whole, comparison->whole_ratio),
+	    "refused", measured->refused, "late", measured->late, "retried",
+	    measured->retried, "unanswered", measured->open, "batch_items",
+	    (json_int_t)measured->batch_done, "withdrawn",
+	    (json_int_t)measured->withdrawn, "lost", measured->lost, "used",
 	    comparison->used, "score", comparison->score, "messages",
-	    (json_int_t)own->messages);
+	    (json_int_t)measured->messages);
 }
 
 static json_t *
@@ -212,8 +215,8 @@
 }
 
 static void
-count_ends(const bench_scenario_t *scenario, const run_t *run, int64_t from_us,
-    figures_t *figures)
+count_outcomes(const bench_scenario_t *scenario, const run_t *run,
+    int64_t from_us, figures_t *figures)
 {
 	int64_t end_us = (int64_t)((1 + scenario->seconds) * 1e6);
 	uint64_t refused = 0;
@@ -245,9 +248,10 @@
 	figures->open = (double)open / (double)figures->calls;
 }
 
-/* An item's uncached prompt stalls a step: what that step's room is worth. */
+/* Cost of an item's prefill: it delays a step by that time, in which the
+ * engine could have generated this many tokens. */
 static double
-prefill_tokens(const bench_scenario_t *scenario)
+prefill_cost_tokens(const bench_scenario_t *scenario)
 {
 	double uncached = scenario->batch_prompt % BLOCK_TOKENS + BLOCK_TOKENS;
 
--- a/bench/report.h
+++ b/bench/report.h
@@ -1,6 +1,6 @@
 /**
  * @file report.h
- * @brief Figures of a run, and how they compare with the reference.
+ * @brief Figures of a run and their comparison with the reference run.
  */
 #ifndef BENCH_REPORT_H
 #define BENCH_REPORT_H
@@ -19,49 +19,50 @@
 typedef struct {
 	quantiles_t first; /**< first token */
 	quantiles_t whole; /**< whole answer */
-	quantiles_t others_first; /**< without the team "flood" */
+	quantiles_t others_first; /**< first token, without the team "flood" */
 	uint64_t calls;
-	double refused; /**< share of calls that we answered ourselves */
+	double refused; /**< share of calls answered without a server */
 	double late; /**< share answered after the deadline */
 	double retried; /**< attempts beyond the first, per call */
-	double open; /**< share without any answer at the end */
-	double batch_tokens; /**< finished, with their prefill's worth */
+	double open; /**< share without an answer past the deadline */
+	double
+	    batch_tokens; /**< of finished items, plus the prefill's cost in tokens */
 	double idle_tokens;
-	double lost; /**< thrown away, per token finished */
+	double lost; /**< tokens discarded per token finished */
 	uint64_t batch_done;
 	uint64_t withdrawn;
 	uint64_t messages;
 } figures_t;
 
-/** Figures against the same arrivals without batch. */
+/** Figures compared with the same arrivals without batch. */
 typedef struct {
-	figures_t own;
+	figures_t measured;
 	double first_ratio[REPORT_QUANTILES];
 	double whole_ratio[REPORT_QUANTILES];
-	double harm; /**< the worse p99 ratio of the two, less 1, at least 0 */
-	double used; /**< batch finished as share of the idle capacity */
+	double harm; /**< larger of the two p99 ratios, minus 1, at least 0 */
+	double used; /**< finished batch as a share of the idle capacity */
 	double score; /**< used - harm_weight * harm */
 } comparison_t;
 
-/** Draws up the figures of a run. */
+/** Computes the figures of a run. */
 void report_figures(
     const bench_scenario_t *scenario, const run_t *run, figures_t *figures);
 /**
- * First token of the calls that arrive in [from_us, to_us) and are answered;
- * zeros when there is none.
+ * Quantiles of the time to the first token over the answered calls that
+ * arrive in [from_us, to_us); zeros when there is none.
  */
 void report_first_token(
     const run_t *run, int64_t from_us, int64_t to_us, quantiles_t *quantiles);
 /** Compares a run with the reference. */
-void report_compare(const bench_scenario_t *scenario, const figures_t *own,
+void report_compare(const bench_scenario_t *scenario, const figures_t *measured,
     const figures_t *reference, comparison_t *comparison);
-/** Prints one line of the table; the heading without a comparison. */
+/** Prints one line of the table; its heading when @p comparison is NULL. */
 void report_print_line(
     const char *scenario, const char *policy, const comparison_t *comparison);
-/** Prints a run in full. */
+/** Prints all figures of a run. */
 void report_print(
     const char *scenario, const char *policy, const comparison_t *comparison);
-/** The same as JSON; the caller owns it. */
+/** Returns all figures as JSON; the caller owns it. */
 json_t *report_json(
     const char *scenario, const char *policy, const comparison_t *comparison);
 
--- a/bench/scenario.c
+++ b/bench/scenario.c
@@ -1,6 +1,6 @@
 /**
  * @file scenario.c
- * @brief Scenarios from TOML files.
+ * @brief Reads scenarios from TOML files.
  */
 #include <stdio.h>
 #include <string.h>
@@ -45,10 +45,10 @@
 }
 
 bool
-scenario_load(
-    bench_scenario_t *scenario, const char *path, char *why, size_t why_size)
+scenario_load(bench_scenario_t *scenario, const char *path, char *error,
+    size_t error_size)
 {
-	jj_toml_t *toml = jj_toml_load(path, why, why_size);
+	jj_toml_t *toml = jj_toml_load(path, error, error_size);
 	const jj_toml_node_t *root;
 	bool valid;
 
@@ -58,12 +58,12 @@
 	scenario_set_defaults(scenario);
 	text_of(root, "name", scenario->name, sizeof(scenario->name));
 	read_numbers(scenario, root);
-	valid = read_lists(scenario, root, why, why_size);
+	valid = read_lists(scenario, root, error, error_size);
 	if (scenario->vms < 1 || scenario->vms > BENCH_VMS_MAX ||
 	    scenario->servers < 1 || scenario->servers > BENCH_SERVERS_MAX) {
-		(void)snprintf(why, why_size,
-		    "%s: vms is 1 to %d, servers "
-		    "is 1 to %d",
+		(void)snprintf(error, error_size,
+		    "%s: vms must be 1 to %d, servers "
+		    "must be 1 to %d",
 		    path, BENCH_VMS_MAX, BENCH_SERVERS_MAX);
 		valid = false;
 	}
@@ -105,8 +105,8 @@
 }
 
 static bool
-read_lists(bench_scenario_t *scenario, const jj_toml_node_t *root, char *why,
-    size_t why_size)
+read_lists(bench_scenario_t *scenario, const jj_toml_node_t *root, char *error,
+    size_t error_size)
 {
 	const jj_toml_node_t *phases = jj_toml_find(root, "arrivals");
 	const jj_toml_node_t *faults = jj_toml_find(root, "fault");
@@ -121,7 +121,7 @@
 		if (!read_fault(&scenario->faults[scenario->fault_count++],
 			jj_toml_at(faults, i))) {
 			(void)snprintf(
-			    why, why_size, "fault %zu: kind is unknown", i);
+			    error, error_size, "fault %zu: kind is unknown", i);
 			return false;
 		}
 	return true;
@@ -162,10 +162,10 @@
 }
 
 static double
-number_of(const jj_toml_node_t *table, const char *key, double otherwise)
+number_of(const jj_toml_node_t *table, const char *key, double fallback)
 {
 	const jj_toml_node_t *node = jj_toml_find(table, key);
-	double value = otherwise;
+	double value = fallback;
 
 	if (node != NULL)
 		(void)jj_toml_get_real(node, &value);
--- a/bench/servers.c
+++ b/bench/servers.c
@@ -1,6 +1,6 @@
 /**
  * @file servers.c
- * @brief Servers: their streams, steps and reports, and what befalls them.
+ * @brief Simulated servers: streams, steps, load reports and faults.
  */
 #include <stdlib.h>
 
@@ -9,10 +9,10 @@
 #include "servers.h"
 #include "vms.h"
 
-/* A VM's probe notices a death or a start after so long. */
-#define PROBE_US 100000
-/* A server killed by a request is started again after so long. */
-#define RESTART_US 5000000
+/* Time until a VM's probe detects that a server is down or up. */
+#define PROBE_DELAY_US 100000
+/* Time until a server that a request has killed restarts. */
+#define RESTART_DELAY_US 5000000
 
 typedef struct {
 	world_t *world;
@@ -21,7 +21,7 @@
 
 static void kill_server(world_t *, uint32_t);
 static void restart_server(world_t *, uint32_t);
-static void tell_vms(world_t *, event_kind_t, uint32_t);
+static void notify_vms(world_t *, event_kind_t, uint32_t);
 static void begin_step(world_t *, uint32_t);
 static void emit_backend(void *, const bench_stream_t *, jj_backend_kind_t);
 static void
@@ -64,7 +64,7 @@
 }
 
 void
-servers_take_submit(world_t *world, const event_t *event)
+servers_handle_submit(world_t *world, const event_t *event)
 {
 	bench_engine_t *engine = &world->engines[event->target];
 	bench_stream_t *stream = event->pointer;
@@ -80,7 +80,7 @@
 }
 
 void
-servers_take_cancel(world_t *world, const event_t *event)
+servers_handle_cancel(world_t *world, const event_t *event)
 {
 	bool batch = (event->request & BATCH_BIT) != 0;
 	int64_t lost = -1;
@@ -97,7 +97,7 @@
 }
 
 void
-servers_take_step(world_t *world, const event_t *event)
+servers_handle_step(world_t *world, const event_t *event)
 {
 	bench_engine_t *engine = &world->engines[event->target];
 	emit_ctx_t ctx = {world, event->target};
@@ -113,7 +113,7 @@
 }
 
 void
-servers_take_report(world_t *world, const event_t *event)
+servers_handle_report(world_t *world, const event_t *event)
 {
 	const bench_engine_t *engine = &world->engines[event->target];
 	jj_name_t name = world_server_name(event->target);
@@ -130,14 +130,14 @@
 }
 
 void
-servers_take_fault(world_t *world, const event_t *event)
+servers_handle_fault(world_t *world, const event_t *event)
 {
 	const bench_fault_t *fault = &world->scenario->faults[event->request];
 	bench_engine_t *engine = &world->engines[fault->target];
 
 	switch (fault->kind) {
 	case BENCH_FAULT_SLOW:
-		engine_settle(engine, world->now_us);
+		engine_count_idle(engine, world->now_us);
 		engine->slow = fault->value;
 		break;
 	case BENCH_FAULT_FAIL:
@@ -153,10 +153,10 @@
 		engine->leaving = true;
 		break;
 	case BENCH_FAULT_FREEZE:
-		world->vms[fault->target].frozen = true;
+		world->vms[fault->target].paused = true;
 		break;
 	case BENCH_FAULT_THAW:
-		vms_thaw(world, fault->target);
+		vms_resume(world, fault->target);
 		break;
 	case BENCH_FAULT_REPORTS:
 		world->reports = fault->value != 0;
@@ -172,7 +172,7 @@
 	emit_ctx_t ctx = {world, server};
 
 	engine_kill(&world->engines[server], world->now_us, emit_backend, &ctx);
-	tell_vms(world, EVENT_CRASH, server);
+	notify_vms(world, EVENT_CRASH, server);
 }
 
 static void
@@ -181,11 +181,11 @@
 	if (world->engines[server].alive)
 		return;
 	engine_restart(&world->engines[server], world->now_us);
-	tell_vms(world, EVENT_UP, server);
+	notify_vms(world, EVENT_UP, server);
 }
 
 static void
-tell_vms(world_t *world, event_kind_t kind, uint32_t server)
+notify_vms(world_t *world, event_kind_t kind, uint32_t server)
 {
 	event_t event = {.kind = kind, .server = server};
 	uint32_t i;
@@ -193,7 +193,8 @@
 	event.boot = world->engines[server].boot;
 	for (i = 0; i < world->scenario->vms; i++) {
 		event.target = i;
-		event.at_us = world->now_us + PROBE_US + (int64_t)i * 10000;
+		event.at_us =
+		    world->now_us + PROBE_DELAY_US + (int64_t)i * 10000;
 		events_push(&world->events, &event);
 	}
 }
@@ -208,7 +209,7 @@
 
 	if (crashed) {
 		kill_server(world, server);
-		event.at_us = world->now_us + RESTART_US;
+		event.at_us = world->now_us + RESTART_DELAY_US;
 		event.target = server;
 		event.attempt = UINT32_MAX;
 		events_push(&world->events, &event);
--- a/bench/slopes/batch_slopes.c
+++ b/bench/slopes/batch_slopes.c
@@ -1,6 +1,6 @@
 /**
  * @file batch_slopes.c
- * @brief What batch costs a worker and the platform: jobs, chunks, items.
+ * @brief Cost of batch at a worker and at the platform: jobs, chunks, items.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -13,22 +13,22 @@
 #include "world.h"
 
 #define WORKERS_MAX 8
-/** One step of the world, ms. */
+/** Time step of the simulation, ms. */
 #define STEP_MS 5
-/** Most rounds of 100 ms until all is done. */
-#define ROUNDS_MOST 20000
-/** How long a server takes for an item, ms. */
+/** Maximum of rounds of 100 ms until all chunks or items have ended. */
+#define ROUNDS_MAX 20000
+/** Service time of an item at a server, ms. */
 #define ITEM_MS 100
-/** Bytes of an item's prompt, and of its answer. */
+/** Sizes of an item's prompt and of its answer, bytes. */
 #define PROMPT_BYTES 800
 #define ANSWER_BYTES 1200
-/** Bytes of one item of a list at the platform. */
+/** Size of one item in the answer to a list call, bytes. */
 #define ITEM_BYTES 80
-/** Settings' defaults, as in settings.c. */
+/** Defaults of the settings, as in settings.c. */
 #define LEASE_MS 15000
 #define RELIST_MS 30000
 
-/** An item at a server. */
+/** An item that runs at a server. */
 typedef struct item {
 	STAILQ_ENTRY(item) link;
 	size_t worker;
@@ -36,7 +36,7 @@
 	jj_ms_t due_ms;
 } item_t;
 
-/** A platform call under way. */
+/** An open platform call. */
 typedef struct call {
 	STAILQ_ENTRY(call) link;
 	size_t worker;
@@ -51,40 +51,41 @@
 	store_t *store;
 	STAILQ_HEAD(, item) items;
 	STAILQ_HEAD(, call) calls;
-	uint32_t room; /**< items of a worker at servers at once */
-	bool serves; /**< items end */
+	uint32_t
+	    max_running; /**< maximum of items that a worker runs at once */
+	bool items_end; /**< running items end; false: they run forever */
 	uint64_t reads;
 	uint64_t writes;
 	uint64_t read_bytes;
 	uint64_t write_bytes;
 	uint64_t ended;
 	int64_t cpu_ns;
-} farm_t;
+} bench_t;
 
 static void measure_jobs(fit_t[], uint32_t);
 static void measure_parts(fit_t *, uint32_t);
 static void measure_items(fit_t *, uint32_t);
 static void measure_chunks(fit_t[], uint32_t);
 static void measure_workers(fit_t[], uint32_t);
-static farm_t *create_farm(size_t);
-static void destroy_farm(farm_t *);
-static void reset_counts(farm_t *);
-static void put_job(farm_t *, uint32_t, uint32_t, uint32_t);
-static void put_entry(farm_t *, const char *);
-static void put_part(farm_t *, const char *, uint32_t, uint32_t);
-static void run_farm(farm_t *, jj_ms_t);
-static void set_room(farm_t *, size_t);
-static void end_items(farm_t *);
-static void answer_calls(farm_t *);
-static void answer_call(farm_t *, const call_t *);
+static bench_t *create_bench(size_t);
+static void destroy_bench(bench_t *);
+static void reset_counts(bench_t *);
+static void put_job(bench_t *, uint32_t, uint32_t, uint32_t);
+static void put_entry(bench_t *, const char *);
+static void put_part(bench_t *, const char *, uint32_t, uint32_t);
+static void run_bench(bench_t *, jj_ms_t);
+static void set_capacity(bench_t *, size_t);
+static void end_items(bench_t *);
+static void answer_calls(bench_t *);
+static void answer_call(bench_t *, const call_t *);
 static bool is_write_call(const jj_platform_call_t *);
-static void add_call(farm_t *, size_t, jj_platform_call_t *);
-static void add_item(farm_t *, size_t, uint64_t);
-static void tell_change(farm_t *, const char *);
-static void carry_out(farm_t *, size_t, jj_actions_t *);
-static size_t weigh_worker(farm_t *);
+static void add_call(bench_t *, size_t, jj_platform_call_t *);
+static void add_item(bench_t *, size_t, uint64_t);
+static void notify_change(bench_t *, const char *);
+static void carry_out(bench_t *, size_t, jj_actions_t *);
+static size_t free_worker(bench_t *);
 static bool is_idempotent(void *, const char *);
-static void print_all(const fit_t *, size_t, fit_bounds_t *);
+static void print_fits(const fit_t *, size_t, fit_bounds_t *);
 
 void
 slopes_of_batch(fit_bounds_t *bounds)
@@ -124,111 +125,111 @@
 		measure_chunks(by_chunk, chunks[i]);
 		measure_workers(by_worker, workers[i]);
 	}
-	print_all(by_job, sizeof(by_job) / sizeof(by_job[0]), bounds);
+	print_fits(by_job, sizeof(by_job) / sizeof(by_job[0]), bounds);
 	fit_print(&by_part, bounds);
 	fit_print(&by_item, bounds);
-	print_all(by_chunk, sizeof(by_chunk) / sizeof(by_chunk[0]), bounds);
-	print_all(by_worker, sizeof(by_worker) / sizeof(by_worker[0]), bounds);
+	print_fits(by_chunk, sizeof(by_chunk) / sizeof(by_chunk[0]), bounds);
+	print_fits(by_worker, sizeof(by_worker) / sizeof(by_worker[0]), bounds);
 }
 
-/** Jobs of four chunks that this worker has no room for. */
+/** Jobs of four chunks, while the worker has no capacity for items. */
 static void
 measure_jobs(fit_t fits[], uint32_t jobs)
 {
-	farm_t *farm = create_farm(1);
-	const jj_ms_t calm_ms = 4 * RELIST_MS;
+	bench_t *bench = create_bench(1);
+	const jj_ms_t idle_ms = 4 * RELIST_MS;
 	uint32_t i;
 
 	for (i = 0; i < jobs; i++)
-		put_job(farm, i, 4, 10);
-	run_farm(farm, 2 * RELIST_MS);
-	fit_add(&fits[1], jobs, (double)farm->reads);
-	reset_counts(farm);
-	run_farm(farm, calm_ms);
-	fit_add(&fits[2], jobs, (double)farm->reads * 1e3 / calm_ms);
-	fit_add(&fits[3], jobs, (double)farm->read_bytes * 1e3 / calm_ms);
-	fit_add(&fits[4], jobs, (double)farm->cpu_ns / calm_ms);
-	fit_add(&fits[0], jobs, (double)weigh_worker(farm));
-	destroy_farm(farm);
+		put_job(bench, i, 4, 10);
+	run_bench(bench, 2 * RELIST_MS);
+	fit_add(&fits[1], jobs, (double)bench->reads);
+	reset_counts(bench);
+	run_bench(bench, idle_ms);
+	fit_add(&fits[2], jobs, (double)bench->reads * 1e3 / idle_ms);
+	fit_add(&fits[3], jobs, (double)bench->read_bytes * 1e3 / idle_ms);
+	fit_add(&fits[4], jobs, (double)bench->cpu_ns / idle_ms);
+	fit_add(&fits[0], jobs, (double)free_worker(bench));
+	destroy_bench(bench);
 }
 
 /** One job of many chunks. */
 static void
 measure_parts(fit_t *fit, uint32_t parts)
 {
-	farm_t *farm = create_farm(1);
+	bench_t *bench = create_bench(1);
 
-	put_job(farm, 0, parts, 1);
-	run_farm(farm, 2 * RELIST_MS);
-	fit_add(fit, parts, (double)weigh_worker(farm));
-	destroy_farm(farm);
+	put_job(bench, 0, parts, 1);
+	run_bench(bench, 2 * RELIST_MS);
+	fit_add(fit, parts, (double)free_worker(bench));
+	destroy_bench(bench);
 }
 
-/** One chunk that is held while its first item runs. */
+/** One chunk that stays held, as its first item does not end. */
 static void
 measure_items(fit_t *fit, uint32_t items)
 {
-	farm_t *farm = create_farm(1);
-
-	farm->serves = false;
-	farm->room = 1;
-	put_job(farm, 0, 1, items);
-	run_farm(farm, 4000);
-	JJ_INVARIANT(jj_batch_counts(farm->workers[0]).chunks_held == 1);
-	fit_add(fit, items, (double)weigh_worker(farm));
-	destroy_farm(farm);
+	bench_t *bench = create_bench(1);
+
+	bench->items_end = false;
+	bench->max_running = 1;
+	put_job(bench, 0, 1, items);
+	run_bench(bench, 4000);
+	JJ_INVARIANT(jj_batch_counts(bench->workers[0]).chunks_held == 1);
+	fit_add(fit, items, (double)free_worker(bench));
+	destroy_bench(bench);
 }
 
-/** A job's chunks of 100 items each, from claim to out object. */
+/** A job's chunks of 100 items each, from the claim to the output object. */
 static void
 measure_chunks(fit_t fits[], uint32_t chunks)
 {
-	farm_t *farm = create_farm(1);
+	bench_t *bench = create_bench(1);
 	uint32_t rounds = 0;
 
-	farm->room = 40;
-	put_job(farm, 0, chunks, 100);
-	while (jj_batch_counts(farm->workers[0]).published < chunks &&
-	    rounds++ < ROUNDS_MOST)
-		run_farm(farm, 100);
-	run_farm(farm, 500);
-	JJ_INVARIANT(jj_batch_counts(farm->workers[0]).published == chunks);
-	fit_add(&fits[0], chunks, (double)farm->writes);
-	fit_add(&fits[1], chunks, (double)farm->reads);
-	fit_add(&fits[2], chunks, (double)farm->write_bytes);
-	fit_add(&fits[3], chunks, (double)farm->cpu_ns / 1e3);
-	destroy_farm(farm);
+	bench->max_running = 40;
+	put_job(bench, 0, chunks, 100);
+	while (jj_batch_counts(bench->workers[0]).published < chunks &&
+	    rounds++ < ROUNDS_MAX)
+		run_bench(bench, 100);
+	run_bench(bench, 500);
+	JJ_INVARIANT(jj_batch_counts(bench->workers[0]).published == chunks);
+	fit_add(&fits[0], chunks, (double)bench->writes);
+	fit_add(&fits[1], chunks, (double)bench->reads);
+	fit_add(&fits[2], chunks, (double)bench->write_bytes);
+	fit_add(&fits[3], chunks, (double)bench->cpu_ns / 1e3);
+	destroy_bench(bench);
 }
 
-/** Small jobs before several workers: calls at the platform for each job. */
+/** Platform calls per small job, by the number of workers that compete for it. */
 static void
 measure_workers(fit_t fits[], uint32_t workers)
 {
 	static const uint32_t jobs = 100;
-	farm_t *farm = create_farm(workers);
+	bench_t *bench = create_bench(workers);
 	uint32_t rounds = 0;
 	uint32_t i;
 
-	farm->room = 16;
-	run_farm(farm, 1000);
-	reset_counts(farm);
-	/* As they come in, two each second. */
+	bench->max_running = 16;
+	run_bench(bench, 1000);
+	reset_counts(bench);
+	/* Jobs arrive at two per second. */
 	for (i = 0; i < jobs; i++) {
-		put_job(farm, i, 1, 20);
-		run_farm(farm, 500);
+		put_job(bench, i, 1, 20);
+		run_bench(bench, 500);
 	}
-	while (farm->ended < jobs * 20 && rounds++ < ROUNDS_MOST)
-		run_farm(farm, 100);
-	run_farm(farm, 1000);
-	fit_add(&fits[0], workers, (double)farm->writes / jobs);
-	fit_add(&fits[1], workers, (double)farm->reads / jobs);
-	destroy_farm(farm);
+	while (bench->ended < jobs * 20 && rounds++ < ROUNDS_MAX)
+		run_bench(bench, 100);
+	run_bench(bench, 1000);
+	fit_add(&fits[0], workers, (double)bench->writes / jobs);
+	fit_add(&fits[1], workers, (double)bench->reads / jobs);
+	destroy_bench(bench);
 }
 
-static farm_t *
-create_farm(size_t workers)
+static bench_t *
+create_bench(size_t workers)
 {
-	farm_t *farm = jj_alloc(sizeof(*farm));
+	bench_t *bench = jj_alloc(sizeof(*bench));
 	jj_batch_settings_t settings = {
 	    .lease_ms = LEASE_MS,
 	    .margin_ms = 3000,
@@ -242,58 +243,58 @@
 	};
 	size_t i;
 
-	farm->now = 1000;
-	farm->worker_count = workers;
-	farm->serves = true;
-	farm->store = store_create();
-	STAILQ_INIT(&farm->items);
-	STAILQ_INIT(&farm->calls);
+	bench->now = 1000;
+	bench->worker_count = workers;
+	bench->items_end = true;
+	bench->store = store_create();
+	STAILQ_INIT(&bench->items);
+	STAILQ_INIT(&bench->calls);
 	for (i = 0; i < workers; i++) {
 		(void)snprintf(settings.name.text, sizeof(settings.name.text),
 		    "entry-vm-%02zu", i);
 		jj_core_write_writer(&settings.name, 1000 + i, settings.writer,
 		    sizeof(settings.writer));
 		settings.seed = i;
-		farm->workers[i] = jj_batch_create(&settings);
-		jj_batch_set_idempotent(farm->workers[i], is_idempotent, NULL);
+		bench->workers[i] = jj_batch_create(&settings);
+		jj_batch_set_idempotent(bench->workers[i], is_idempotent, NULL);
 	}
-	return farm;
+	return bench;
 }
 
 static void
-destroy_farm(farm_t *farm)
+destroy_bench(bench_t *bench)
 {
 	call_t *call;
 	item_t *item;
 	size_t i;
 
-	while ((call = STAILQ_FIRST(&farm->calls)) != NULL) {
-		STAILQ_REMOVE_HEAD(&farm->calls, link);
+	while ((call = STAILQ_FIRST(&bench->calls)) != NULL) {
+		STAILQ_REMOVE_HEAD(&bench->calls, link);
 		jj_platform_call_clear(&call->call);
 		free(call);
 	}
-	while ((item = STAILQ_FIRST(&farm->items)) != NULL) {
-		STAILQ_REMOVE_HEAD(&farm->items, link);
+	while ((item = STAILQ_FIRST(&bench->items)) != NULL) {
+		STAILQ_REMOVE_HEAD(&bench->items, link);
 		free(item);
 	}
-	for (i = 0; i < farm->worker_count; i++)
-		jj_batch_destroy(farm->workers[i]);
-	store_destroy(farm->store);
-	free(farm);
+	for (i = 0; i < bench->worker_count; i++)
+		jj_batch_destroy(bench->workers[i]);
+	store_destroy(bench->store);
+	free(bench);
 }
 
 static void
-reset_counts(farm_t *farm)
+reset_counts(bench_t *bench)
 {
-	farm->reads = 0;
-	farm->writes = 0;
-	farm->read_bytes = 0;
-	farm->write_bytes = 0;
-	farm->cpu_ns = 0;
+	bench->reads = 0;
+	bench->writes = 0;
+	bench->read_bytes = 0;
+	bench->write_bytes = 0;
+	bench->cpu_ns = 0;
 }
 
 static void
-put_job(farm_t *farm, uint32_t number, uint32_t parts, uint32_t items)
+put_job(bench_t *bench, uint32_t number, uint32_t parts, uint32_t items)
 {
 	char key[JJ_OBJECT_KEY_MAX + 1];
 	jj_job_t job = {.due_after_ms = 86400000, .part_count = parts};
@@ -310,20 +311,20 @@
 	job.part_items = jj_alloc(parts * sizeof(*job.part_items));
 	for (i = 0; i < parts; i++) {
 		job.part_items[i] = items;
-		put_part(farm, job.input_file, i, items);
+		put_part(bench, job.input_file, i, items);
 	}
-	put_entry(farm, job.id);
+	put_entry(bench, job.id);
 	value = jj_job_encode(&job, "entry-vm-00/0");
 	(void)snprintf(key, sizeof(key), "jobs/%s/job", job.id);
-	store_put(farm->store, key, &value);
-	tell_change(farm, key);
+	store_put(bench->store, key, &value);
+	notify_change(bench, key);
 	jj_bytes_free(&value);
 	jj_job_clear(&job);
 }
 
-/** The job's entry in the index of those that have not ended. */
+/** Adds the job to the index of jobs that have not ended. */
 static void
-put_entry(farm_t *farm, const char *id)
+put_entry(bench_t *bench, const char *id)
 {
 	char key[JJ_OBJECT_KEY_MAX + 1];
 	char text[JJ_OBJECT_KEY_MAX + 1];
@@ -335,11 +336,11 @@
 	    "\"operation\":\"0000000000000001\"}",
 	    id);
 	value.size = strlen(text);
-	store_put(farm->store, key, &value);
+	store_put(bench->store, key, &value);
 }
 
 static void
-put_part(farm_t *farm, const char *file, uint32_t part, uint32_t items)
+put_part(bench_t *bench, const char *file, uint32_t part, uint32_t items)
 {
 	char key[JJ_OBJECT_KEY_MAX + 1];
 	char prompt[PROMPT_BYTES + 1];
@@ -363,46 +364,47 @@
 	value.data = json_dumps(object, JSON_COMPACT);
 	value.size = strlen(value.data);
 	(void)snprintf(key, sizeof(key), "files/%s/part/%06u", file, part);
-	store_put(farm->store, key, &value);
+	store_put(bench->store, key, &value);
 	json_decref(object);
 	jj_bytes_free(&value);
 }
 
 static void
-run_farm(farm_t *farm, jj_ms_t ms)
+run_bench(bench_t *bench, jj_ms_t ms)
 {
 	jj_actions_t actions = TAILQ_HEAD_INITIALIZER(actions);
-	jj_ms_t end = farm->now + ms;
+	jj_ms_t end = bench->now + ms;
 	int64_t begin_ns;
 	size_t i;
 
-	while (farm->now < end) {
-		answer_calls(farm);
-		end_items(farm);
-		for (i = 0; i < farm->worker_count; i++) {
-			set_room(farm, i);
-			if (jj_batch_next(farm->workers[i]) > farm->now)
+	while (bench->now < end) {
+		answer_calls(bench);
+		end_items(bench);
+		for (i = 0; i < bench->worker_count; i++) {
+			set_capacity(bench, i);
+			if (jj_batch_next(bench->workers[i]) > bench->now)
 				continue;
 			begin_ns = world_cpu_ns();
-			jj_batch_tick(farm->workers[i], farm->now, &actions);
-			farm->cpu_ns += world_cpu_ns() - begin_ns;
-			carry_out(farm, i, &actions);
+			jj_batch_tick(bench->workers[i], bench->now, &actions);
+			bench->cpu_ns += world_cpu_ns() - begin_ns;
+			carry_out(bench, i, &actions);
 		}
-		farm->now += STEP_MS;
+		bench->now += STEP_MS;
 	}
 }
 
 static void
-set_room(farm_t *farm, size_t worker)
+set_capacity(bench_t *bench, size_t worker)
 {
-	uint32_t running = jj_batch_counts(farm->workers[worker]).items_running;
+	uint32_t running =
+	    jj_batch_counts(bench->workers[worker]).items_running;
 
-	jj_batch_set_room(farm->workers[worker],
-	    running < farm->room ? farm->room - running : 0);
+	jj_batch_set_room(bench->workers[worker],
+	    running < bench->max_running ? bench->max_running - running : 0);
 }
 
 static void
-end_items(farm_t *farm)
+end_items(bench_t *bench)
 {
 	jj_actions_t actions = TAILQ_HEAD_INITIALIZER(actions);
 	char text[ANSWER_BYTES + 1];
@@ -414,57 +416,57 @@
 	    "{\"choices\":[{\"index\":0,\"text\":\"%0*d\"}]}",
 	    ANSWER_BYTES - 39, 0);
 	body.size = strlen(text);
-	while ((item = STAILQ_FIRST(&farm->items)) != NULL &&
-	    item->due_ms <= farm->now && farm->serves) {
-		STAILQ_REMOVE_HEAD(&farm->items, link);
+	while ((item = STAILQ_FIRST(&bench->items)) != NULL &&
+	    item->due_ms <= bench->now && bench->items_end) {
+		STAILQ_REMOVE_HEAD(&bench->items, link);
 		begin_ns = world_cpu_ns();
-		jj_batch_end_item(farm->workers[item->worker], item->number,
-		    JJ_ITEM_DONE, 200, &body, farm->now, &actions);
-		farm->cpu_ns += world_cpu_ns() - begin_ns;
-		farm->ended++;
-		carry_out(farm, item->worker, &actions);
+		jj_batch_end_item(bench->workers[item->worker], item->number,
+		    JJ_ITEM_DONE, 200, &body, bench->now, &actions);
+		bench->cpu_ns += world_cpu_ns() - begin_ns;
+		bench->ended++;
+		carry_out(bench, item->worker, &actions);
 		free(item);
 	}
 }
 
-/** Each call is answered a step after it was made. */
+/** Each call is answered one step after it was made. */
 static void
-answer_calls(farm_t *farm)
+answer_calls(bench_t *bench)
 {
 	call_t *call;
 
-	while ((call = STAILQ_FIRST(&farm->calls)) != NULL &&
-	    call->due_ms <= farm->now) {
-		STAILQ_REMOVE_HEAD(&farm->calls, link);
-		answer_call(farm, call);
+	while ((call = STAILQ_FIRST(&bench->calls)) != NULL &&
+	    call->due_ms <= bench->now) {
+		STAILQ_REMOVE_HEAD(&bench->calls, link);
+		answer_call(bench, call);
 		jj_platform_call_clear(&call->call);
 		free(call);
 	}
 }
 
 static void
-answer_call(farm_t *farm, const call_t *call)
+answer_call(bench_t *bench, const call_t *call)
 {
 	jj_actions_t actions = TAILQ_HEAD_INITIALIZER(actions);
 	jj_platform_result_t result;
 	int64_t begin_ns;
 	bool is_write = is_write_call(&call->call);
 
-	(void)store_answer(farm->store, &call->call, true, &result);
-	farm->read_bytes += result.value.size + result.item_count * ITEM_BYTES;
+	(void)store_answer(bench->store, &call->call, true, &result);
+	bench->read_bytes += result.value.size + result.item_count * ITEM_BYTES;
 	begin_ns = world_cpu_ns();
 	jj_batch_take_result(
-	    farm->workers[call->worker], &result, farm->now, &actions);
-	farm->cpu_ns += world_cpu_ns() - begin_ns;
-	carry_out(farm, call->worker, &actions);
+	    bench->workers[call->worker], &result, bench->now, &actions);
+	bench->cpu_ns += world_cpu_ns() - begin_ns;
+	carry_out(bench, call->worker, &actions);
 	if (is_write && result.outcome == JJ_PLATFORM_OK)
-		tell_change(farm, call->call.key);
+		notify_change(bench, call->call.key);
 	jj_platform_result_clear(&result);
 }
 
-/** The domains' watch relays bring each change to each worker. */
+/** Notifies all workers of a change, as the domains' watch relays do. */
 static void
-tell_change(farm_t *farm, const char *key)
+notify_change(bench_t *bench, const char *key)
 {
 	jj_actions_t actions = TAILQ_HEAD_INITIALIZER(actions);
 	int64_t begin_ns;
@@ -472,57 +474,57 @@
 
 	if (strncmp(key, "jobs/", 5) != 0)
 		return;
-	for (i = 0; i < farm->worker_count; i++) {
+	for (i = 0; i < bench->worker_count; i++) {
 		begin_ns = world_cpu_ns();
-		jj_batch_take_change(farm->workers[i], key,
-		    store_revision(farm->store), farm->now, &actions);
-		farm->cpu_ns += world_cpu_ns() - begin_ns;
-		carry_out(farm, i, &actions);
+		jj_batch_take_change(bench->workers[i], key,
+		    store_revision(bench->store), bench->now, &actions);
+		bench->cpu_ns += world_cpu_ns() - begin_ns;
+		carry_out(bench, i, &actions);
 	}
 }
 
 static void
-carry_out(farm_t *farm, size_t worker, jj_actions_t *actions)
+carry_out(bench_t *bench, size_t worker, jj_actions_t *actions)
 {
 	jj_action_t *action;
 
 	while ((action = TAILQ_FIRST(actions)) != NULL) {
 		TAILQ_REMOVE(actions, action, link);
 		if (action->kind == JJ_ACTION_ITEM_READY)
-			add_item(farm, worker, action->body.item.item);
+			add_item(bench, worker, action->body.item.item);
 		else if (action->kind == JJ_ACTION_PLATFORM)
-			add_call(farm, worker, &action->body.platform);
+			add_call(bench, worker, &action->body.platform);
 		jj_action_free(action);
 	}
 }
 
 static void
-add_item(farm_t *farm, size_t worker, uint64_t number)
+add_item(bench_t *bench, size_t worker, uint64_t number)
 {
 	item_t *item = jj_alloc(sizeof(*item));
 
 	item->worker = worker;
 	item->number = number;
-	item->due_ms = farm->now + ITEM_MS;
-	STAILQ_INSERT_TAIL(&farm->items, item, link);
+	item->due_ms = bench->now + ITEM_MS;
+	STAILQ_INSERT_TAIL(&bench->items, item, link);
 }
 
-/** The call's value moves over. */
+/** Takes over the call's value. */
 static void
-add_call(farm_t *farm, size_t worker, jj_platform_call_t *made)
+add_call(bench_t *bench, size_t worker, jj_platform_call_t *made)
 {
 	call_t *call = jj_alloc(sizeof(*call));
 
 	call->worker = worker;
-	call->due_ms = farm->now + STEP_MS;
+	call->due_ms = bench->now + STEP_MS;
 	call->call = *made;
 	made->value = (jj_bytes_t){NULL, 0};
 	if (is_write_call(&call->call))
-		farm->writes++;
+		bench->writes++;
 	else
-		farm->reads++;
-	farm->write_bytes += call->call.value.size;
-	STAILQ_INSERT_TAIL(&farm->calls, call, link);
+		bench->reads++;
+	bench->write_bytes += call->call.value.size;
+	STAILQ_INSERT_TAIL(&bench->calls, call, link);
 }
 
 static bool
@@ -532,15 +534,15 @@
 	    call->op == JJ_PLATFORM_UPDATE || call->op == JJ_PLATFORM_DELETE;
 }
 
-/** What the heap gives back when the first worker is gone. */
+/** Destroys the first worker; returns the heap bytes that this frees. */
 static size_t
-weigh_worker(farm_t *farm)
+free_worker(bench_t *bench)
 {
-	size_t before = world_heap();
+	size_t before = world_heap_bytes();
 
-	jj_batch_destroy(farm->workers[0]);
-	farm->workers[0] = NULL;
-	return before - world_heap();
+	jj_batch_destroy(bench->workers[0]);
+	bench->workers[0] = NULL;
+	return before - world_heap_bytes();
 }
 
 static bool
@@ -552,7 +554,7 @@
 }
 
 static void
-print_all(const fit_t *fits, size_t count, fit_bounds_t *bounds)
+print_fits(const fit_t *fits, size_t count, fit_bounds_t *bounds)
 {
 	size_t i;
 
--- a/bench/slopes/fit.c
+++ b/bench/slopes/fit.c
@@ -1,6 +1,6 @@
 /**
  * @file fit.c
- * @brief A line through measured points, printed as one key=value line.
+ * @brief Least-squares line through measured points, printed as key=value.
  */
 #include <math.h>
 #include <stdio.h>
@@ -11,13 +11,13 @@
 #include "fit.h"
 
 #define BOUNDS_MAX 64
-#define NAME_ROOM 48
+#define NAME_SIZE 48
 
 typedef struct {
-	char name[NAME_ROOM];
-	double least;
-	double most;
-	bool met; /**< some slope has this name */
+	char name[NAME_SIZE];
+	double minimum;
+	double maximum;
+	bool measured; /**< a slope with this name was measured */
 	double slope;
 } bound_t;
 
@@ -40,9 +40,9 @@
 	fit_line_t line = {0, 0, 0};
 	double mean_x = 0;
 	double mean_y = 0;
-	double spread = 0;
-	double together = 0;
-	double greatest = 0;
+	double variance = 0;
+	double covariance = 0;
+	double largest = 0;
 	size_t i;
 
 	for (i = 0; i < fit->count; i++) {
@@ -50,17 +50,17 @@
 		mean_y += fit->y[i] / (double)fit->count;
 	}
 	for (i = 0; i < fit->count; i++) {
-		spread += (fit->x[i] - mean_x) * (fit->x[i] - mean_x);
-		together += (fit->x[i] - mean_x) * (fit->y[i] - mean_y);
+		variance += (fit->x[i] - mean_x) * (fit->x[i] - mean_x);
+		covariance += (fit->x[i] - mean_x) * (fit->y[i] - mean_y);
 	}
-	line.slope = spread > 0 ? together / spread : 0;
+	line.slope = variance > 0 ? covariance / variance : 0;
 	line.intercept = mean_y - line.slope * mean_x;
 	for (i = 0; i < fit->count; i++)
-		greatest = fmax(greatest, fabs(fit->y[i]));
-	for (i = 0; i < fit->count && greatest > 0; i++)
+		largest = fmax(largest, fabs(fit->y[i]));
+	for (i = 0; i < fit->count && largest > 0; i++)
 		line.residual = fmax(line.residual,
 		    fabs(fit->y[i] - line.intercept - line.slope * fit->x[i]) /
-			greatest);
+			largest);
 	return line;
 }
 
@@ -82,7 +82,7 @@
 	for (i = 0; bounds != NULL && i < bounds->count; i++) {
 		if (strcmp(bounds->bounds[i].name, fit->name) != 0)
 			continue;
-		bounds->bounds[i].met = true;
+		bounds->bounds[i].measured = true;
 		bounds->bounds[i].slope = line.slope;
 	}
 }
@@ -103,8 +103,8 @@
 		if (text[0] == '#' || text[0] == '\n')
 			continue;
 		if (bounds->count == BOUNDS_MAX ||
-		    sscanf(text, "%47s %lf %lf", bound.name, &bound.least,
-			&bound.most) != 3) {
+		    sscanf(text, "%47s %lf %lf", bound.name, &bound.minimum,
+			&bound.maximum) != 3) {
 			free(bounds);
 			bounds = NULL;
 			goto out;
@@ -125,14 +125,14 @@
 	for (i = 0; i < bounds->count; i++) {
 		const bound_t *bound = &bounds->bounds[i];
 
-		if (bound->met && bound->slope >= bound->least &&
-		    bound->slope <= bound->most)
+		if (bound->measured && bound->slope >= bound->minimum &&
+		    bound->slope <= bound->maximum)
 			continue;
 		broken++;
 		(void)printf("bound=%s met=%s value=%.6g least=%.6g "
 			     "most=%.6g kept=no\n",
-		    bound->name, bound->met ? "yes" : "no", bound->slope,
-		    bound->least, bound->most);
+		    bound->name, bound->measured ? "yes" : "no", bound->slope,
+		    bound->minimum, bound->maximum);
 	}
 	(void)printf("bounds=%zu broken=%zu\n", bounds->count, broken);
 	return broken;
--- a/bench/slopes/fleet_slopes.c
+++ b/bench/slopes/fleet_slopes.c
@@ -1,49 +1,50 @@
 /**
  * @file fleet_slopes.c
- * @brief What a VM's part in the fleet costs: neighbours, servers, domains.
+ * @brief Cost of fleet membership at a VM: neighbours, servers, domains.
  */
 #include <stdio.h>
 
 #include "slopes.h"
 #include "world.h"
 
-/** Until all VMs know each other and the ledger has settled, ms. */
+/** Time until VMs know each other and the ledger's placement is stable, ms. */
 #define SETTLE_MS 13000
 /**
- * Until the watches have ended that each VM began while it knew of no other:
- * with them all would read a change from the platform at once, ms.
+ * Time until the watches have ended that each VM began before it knew of the
+ * others, ms. With these, all VMs would read a change from the platform at
+ * once.
  */
 #define WATCHES_SETTLE_MS 70000
-/** Measured for, ms. */
+/** Duration of a measurement, ms. */
 #define MEASURE_MS 8000
-/** The same before a loss, and how long its work is counted, ms. */
+/** Time to settle before a loss, and duration of its measurement, ms. */
 #define LOSS_SETTLE_MS 120000
 #define LOSS_MEASURE_MS 60000
-/** The target's requests a second and node, and how long they take. */
+/** The target's requests per second and VM, and their service times. */
 #define TARGET_RATE 40
 #define TARGET_FIRST_MS 400
 #define TARGET_SERVE_MS 12000
-/** The relay tells of tokens that often, ms. */
+/** Interval at which the relay reports tokens, ms. */
 #define TARGET_TOKENS_MS 200
 
-/** What one VM of a world uses each second, and what it keeps. */
+/** Resources that one VM uses per second, and the size of its state. */
 typedef struct {
 	double state_bytes;
 	double messages; /**< sent and received */
-	double bytes; /**< likewise */
+	double bytes; /**< sent and received */
 	double control_us;
 	double request_us;
 	double reads;
 	double writes;
-} use_t;
+} usage_t;
 
-static void measure(const world_plan_t *, use_t *, use_t *);
-static void print_target(const char *, const char *, const use_t *);
-static use_t use_of(world_t *, size_t, double);
+static void measure(const world_plan_t *, usage_t *, usage_t *);
+static void print_target(const char *, const char *, const usage_t *);
+static usage_t usage_of(world_t *, size_t, double);
 static void measure_change(const world_plan_t *, uint32_t, fit_t[], double);
 static void measure_loss(const world_plan_t *, fit_t[]);
-static use_t sum_up(const world_t *, uint32_t);
-static void print_all(const fit_t *, size_t, fit_bounds_t *);
+static usage_t sum_usage(const world_t *, uint32_t);
+static void print_fits(const fit_t *, size_t, fit_bounds_t *);
 static void set_busy(world_plan_t *);
 
 void
@@ -61,24 +62,24 @@
 	};
 	world_plan_t plan = {.domains = 1, .servers = 100, .services = 20};
 	size_t i;
-	use_t use;
-	use_t speaker;
+	usage_t usage;
+	usage_t speaker;
 
 	for (i = 0; i < sizeof(sizes) / sizeof(sizes[0]); i++) {
 		plan.vms = sizes[i];
 		plan.rate = 0;
-		measure(&plan, &use, &speaker);
-		fit_add(&fits[0], sizes[i], use.state_bytes);
-		fit_add(&fits[1], sizes[i], use.messages);
-		fit_add(&fits[2], sizes[i], use.bytes);
-		fit_add(&fits[3], sizes[i], use.control_us);
+		measure(&plan, &usage, &speaker);
+		fit_add(&fits[0], sizes[i], usage.state_bytes);
+		fit_add(&fits[1], sizes[i], usage.messages);
+		fit_add(&fits[2], sizes[i], usage.bytes);
+		fit_add(&fits[3], sizes[i], usage.control_us);
 		set_busy(&plan);
-		measure(&plan, &use, &speaker);
-		fit_add(&fits[4], sizes[i], use.messages);
-		fit_add(&fits[5], sizes[i], use.bytes);
-		fit_add(&fits[6], sizes[i], use.control_us);
+		measure(&plan, &usage, &speaker);
+		fit_add(&fits[4], sizes[i], usage.messages);
+		fit_add(&fits[5], sizes[i], usage.bytes);
+		fit_add(&fits[6], sizes[i], usage.control_us);
 	}
-	print_all(fits, sizeof(fits) / sizeof(fits[0]), bounds);
+	print_fits(fits, sizeof(fits) / sizeof(fits[0]), bounds);
 }
 
 void
@@ -95,23 +96,23 @@
 	};
 	world_plan_t plan = {.domains = 1, .vms = 14, .services = 5};
 	size_t i;
-	use_t use;
-	use_t speaker;
+	usage_t usage;
+	usage_t speaker;
 
 	for (i = 0; i < sizeof(sizes) / sizeof(sizes[0]); i++) {
 		plan.servers = sizes[i];
 		plan.rate = 0;
-		measure(&plan, &use, &speaker);
-		fit_add(&fits[0], sizes[i], use.state_bytes);
-		fit_add(&fits[1], sizes[i], use.bytes);
-		fit_add(&fits[2], sizes[i], use.control_us);
+		measure(&plan, &usage, &speaker);
+		fit_add(&fits[0], sizes[i], usage.state_bytes);
+		fit_add(&fits[1], sizes[i], usage.bytes);
+		fit_add(&fits[2], sizes[i], usage.control_us);
 		set_busy(&plan);
-		measure(&plan, &use, &speaker);
-		fit_add(&fits[3], sizes[i], use.state_bytes);
-		fit_add(&fits[4], sizes[i], use.bytes);
-		fit_add(&fits[5], sizes[i], use.control_us);
+		measure(&plan, &usage, &speaker);
+		fit_add(&fits[3], sizes[i], usage.state_bytes);
+		fit_add(&fits[4], sizes[i], usage.bytes);
+		fit_add(&fits[5], sizes[i], usage.control_us);
 	}
-	print_all(fits, sizeof(fits) / sizeof(fits[0]), bounds);
+	print_fits(fits, sizeof(fits) / sizeof(fits[0]), bounds);
 }
 
 void
@@ -127,18 +128,18 @@
 	world_plan_t plan = {
 	    .vms = 3, .vms_elsewhere = 1, .servers = 20, .services = 20};
 	size_t i;
-	use_t use;
-	use_t member;
+	usage_t usage;
+	usage_t member;
 
 	for (i = 0; i < sizeof(sizes) / sizeof(sizes[0]); i++) {
 		plan.domains = sizes[i];
-		measure(&plan, &member, &use);
-		fit_add(&fits[0], sizes[i], use.state_bytes);
-		fit_add(&fits[1], sizes[i], use.messages);
-		fit_add(&fits[2], sizes[i], use.bytes);
-		fit_add(&fits[3], sizes[i], use.control_us);
+		measure(&plan, &member, &usage);
+		fit_add(&fits[0], sizes[i], usage.state_bytes);
+		fit_add(&fits[1], sizes[i], usage.messages);
+		fit_add(&fits[2], sizes[i], usage.bytes);
+		fit_add(&fits[3], sizes[i], usage.control_us);
 	}
-	print_all(fits, sizeof(fits) / sizeof(fits[0]), bounds);
+	print_fits(fits, sizeof(fits) / sizeof(fits[0]), bounds);
 }
 
 void
@@ -150,14 +151,14 @@
 	    {.name = "list_bytes", .unit = "B/s", .counted = true},
 	    {.name = "list_speaker_bytes", .unit = "B/s", .counted = true},
 	    {.name = "list_cpu", .unit = "us/s"},
-	    /* x is the square of the size, in thousands. */
+	    /* Here x is the square of the size, in thousands. */
 	    {.name = "list_square_cpu", .unit = "us/s"},
 	};
 	world_plan_t plan = {
 	    .domains = 1, .vms = 4, .servers = 20, .services = 20};
 	size_t i;
-	use_t member;
-	use_t speaker;
+	usage_t member;
+	usage_t speaker;
 
 	for (i = 0; i < sizeof(sizes) / sizeof(sizes[0]); i++) {
 		plan.listed_elsewhere = sizes[i];
@@ -169,7 +170,7 @@
 		fit_add(&fits[4], (double)sizes[i] * sizes[i] / 1e3,
 		    member.control_us);
 	}
-	print_all(fits, sizeof(fits) / sizeof(fits[0]), bounds);
+	print_fits(fits, sizeof(fits) / sizeof(fits[0]), bounds);
 }
 
 void
@@ -195,12 +196,12 @@
 
 	for (i = 0; i < sizeof(teams) / sizeof(teams[0]); i++)
 		measure_change(&plan, teams[i], by_team, teams[i]);
-	print_all(by_team, sizeof(by_team) / sizeof(by_team[0]), bounds);
+	print_fits(by_team, sizeof(by_team) / sizeof(by_team[0]), bounds);
 	for (i = 0; i < sizeof(vms) / sizeof(vms[0]); i++) {
 		plan.vms = vms[i];
 		measure_change(&plan, 1000, by_vm, vms[i]);
 	}
-	print_all(by_vm, sizeof(by_vm) / sizeof(by_vm[0]), bounds);
+	print_fits(by_vm, sizeof(by_vm) / sizeof(by_vm[0]), bounds);
 }
 
 void
@@ -219,7 +220,7 @@
 		plan.vms = sizes[i];
 		measure_loss(&plan, fits);
 	}
-	print_all(fits, sizeof(fits) / sizeof(fits[0]), bounds);
+	print_fits(fits, sizeof(fits) / sizeof(fits[0]), bounds);
 }
 
 void
@@ -242,8 +243,8 @@
 	    .services = 20,
 	    .teams = 1000};
 	size_t i;
-	use_t member;
-	use_t speaker;
+	usage_t member;
+	usage_t speaker;
 
 	(void)bounds;
 	for (i = 0; i < sizeof(cases) / sizeof(cases[0]); i++) {
@@ -258,21 +259,21 @@
 }
 
 static void
-print_target(const char *name, const char *role, const use_t *use)
+print_target(const char *name, const char *role, const usage_t *usage)
 {
 	(void)printf("target=%s role=%s state_mb=%.2f messages_per_s=%.0f "
 		     "kb_per_s=%.1f control_cpu_percent=%.2f "
 		     "request_cpu_percent=%.2f reads_per_s=%.2f "
 		     "writes_per_s=%.2f\n",
-	    name, role, use->state_bytes / 1048576, use->messages,
-	    use->bytes / 1000, use->control_us / 1e4, use->request_us / 1e4,
-	    use->reads, use->writes);
+	    name, role, usage->state_bytes / 1048576, usage->messages,
+	    usage->bytes / 1000, usage->control_us / 1e4,
+	    usage->request_us / 1e4, usage->reads, usage->writes);
 	(void)fflush(stdout);
 }
 
-/** What the domain's speaker uses, and what the next VM does. */
+/** Measures the domain's speaker and, as a member, the VM after it. */
 static void
-measure(const world_plan_t *plan, use_t *member, use_t *speaker)
+measure(const world_plan_t *plan, usage_t *member, usage_t *speaker)
 {
 	world_t *world = world_create(plan);
 	size_t vm;
@@ -281,29 +282,29 @@
 	world_reset(world);
 	world_run(world, MEASURE_MS);
 	vm = world_speaker(world);
-	*member = use_of(world, (vm + 1) % plan->vms, MEASURE_MS / 1000.0);
-	*speaker = use_of(world, vm, MEASURE_MS / 1000.0);
+	*member = usage_of(world, (vm + 1) % plan->vms, MEASURE_MS / 1000.0);
+	*speaker = usage_of(world, vm, MEASURE_MS / 1000.0);
 	world_destroy(world);
 }
 
-static use_t
-use_of(world_t *world, size_t vm, double seconds)
+static usage_t
+usage_of(world_t *world, size_t vm, double seconds)
 {
 	const world_counts_t *counts = world_counts(world, vm);
-	use_t use;
+	usage_t usage;
 
-	use.messages = (double)(counts->sent + counts->received) / seconds;
-	use.bytes =
+	usage.messages = (double)(counts->sent + counts->received) / seconds;
+	usage.bytes =
 	    (double)(counts->sent_bytes + counts->received_bytes) / seconds;
-	use.control_us = (double)counts->control_ns / 1e3 / seconds;
-	use.request_us = (double)counts->request_ns / 1e3 / seconds;
-	use.reads = (double)counts->reads / seconds;
-	use.writes = (double)counts->writes / seconds;
-	use.state_bytes = (double)world_weigh(world, vm);
-	return use;
+	usage.control_us = (double)counts->control_ns / 1e3 / seconds;
+	usage.request_us = (double)counts->request_ns / 1e3 / seconds;
+	usage.reads = (double)counts->reads / seconds;
+	usage.writes = (double)counts->writes / seconds;
+	usage.state_bytes = (double)world_free_core(world, vm);
+	return usage;
 }
 
-/** One change: what a VM says and does for it, and when all have it. */
+/** Cost of one configuration change at a VM, and the time until all have it. */
 static void
 measure_change(const world_plan_t *base, uint32_t teams, fit_t fits[], double x)
 {
@@ -331,42 +332,42 @@
 			last_ms = counts->adopted_ms;
 		JJ_INVARIANT(counts->adopted > 0);
 	}
-	/* A VM sends and receives a mean VM's share of the domain's bytes. */
+	/* Mean per VM; each byte is sent by one VM and received by another. */
 	fit_add(&fits[1], x, 2.0 * (double)bytes / plan.vms);
 	fit_add(&fits[2], x, (double)cpu_ns / 1e3 / plan.vms);
 	fit_add(&fits[3], x, (double)(last_ms - begin_ms));
-	fit_add(&fits[0], x, (double)world_weigh(world, 0));
+	fit_add(&fits[0], x, (double)world_free_core(world, 0));
 	world_destroy(world);
 }
 
-/** What the domain does on top when its speaker is lost for good. */
+/** Additional work of a domain after its speaker has failed permanently. */
 static void
 measure_loss(const world_plan_t *plan, fit_t fits[])
 {
 	world_t *world = world_create(plan);
-	use_t calm;
-	use_t after;
+	usage_t idle;
+	usage_t after;
 
-	/* The ledger of a fresh domain moves slots for a while. */
+	/* The ledger of a new domain moves key slots for some time. */
 	world_run(world, LOSS_SETTLE_MS);
 	world_reset(world);
 	world_run(world, LOSS_MEASURE_MS);
-	calm = sum_up(world, plan->vms);
-	(void)world_weigh(world, world_speaker(world));
+	idle = sum_usage(world, plan->vms);
+	(void)world_free_core(world, world_speaker(world));
 	world_reset(world);
 	world_run(world, LOSS_MEASURE_MS);
-	after = sum_up(world, plan->vms);
-	fit_add(&fits[0], plan->vms, after.writes - calm.writes);
-	fit_add(&fits[1], plan->vms, after.reads - calm.reads);
-	fit_add(&fits[2], plan->vms, after.messages - calm.messages);
+	after = sum_usage(world, plan->vms);
+	fit_add(&fits[0], plan->vms, after.writes - idle.writes);
+	fit_add(&fits[1], plan->vms, after.reads - idle.reads);
+	fit_add(&fits[2], plan->vms, after.messages - idle.messages);
 	world_destroy(world);
 }
 
-/** Calls and messages sent of all VMs of the domain. */
-static use_t
-sum_up(const world_t *world, uint32_t vms)
+/** Sums the platform calls and sent messages of the domain's VMs. */
+static usage_t
+sum_usage(const world_t *world, uint32_t vms)
 {
-	use_t sum = {0};
+	usage_t sum = {0};
 	uint32_t i;
 
 	for (i = 0; i < vms; i++) {
@@ -378,7 +379,7 @@
 }
 
 static void
-print_all(const fit_t *fits, size_t count, fit_bounds_t *bounds)
+print_fits(const fit_t *fits, size_t count, fit_bounds_t *bounds)
 {
 	size_t i;
 
--- a/bench/slopes/main.c
+++ b/bench/slopes/main.c
@@ -1,11 +1,11 @@
 /**
  * @file main.c
- * @brief jujube-slopes: what each part of the fleet adds to a VM.
+ * @brief jujube-slopes: cost that each part of the fleet adds to a VM.
  *
- * Drives the real core in virtual time over four sizes or more of each part
- * and prints the line through the points; docs/CAPACITY.md works from it.
- * Counted slopes (bytes, messages) are the same in every run and may be
- * bounded; processor times are not and never decide.
+ * Drives the real core in virtual time at four or more sizes of each part and
+ * prints the line through the points, from which docs/CAPACITY.md calculates.
+ * Counted slopes (bytes, messages) are the same in each run and can be
+ * bounded; processor times vary and are never checked.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -41,8 +41,9 @@
 	char *only = NULL;
 	const GOptionEntry entries[] = {
 	    {"check", 0, 0, G_OPTION_ARG_FILENAME, &check,
-		"bounds that counted slopes must keep", "FILE"},
-	    {"only", 0, 0, G_OPTION_ARG_STRING, &only, "one part", "NAME"},
+		"file of bounds on counted slopes", "FILE"},
+	    {"only", 0, 0, G_OPTION_ARG_STRING, &only, "measure only this part",
+		"NAME"},
 	    G_OPTION_ENTRY_NULL,
 	};
 	GOptionContext *context = g_option_context_new(NULL);
@@ -62,7 +63,7 @@
 		    "[--check FILE]\n");
 		return 2;
 	}
-	/* The same tables, so the same bytes, in every run. */
+	/* A fixed seed of the JSON hash tables gives the same bytes in each run. */
 	json_object_seed(1);
 	for (i = 0; i < sizeof(PARTS) / sizeof(PARTS[0]); i++) {
 		if (only == NULL || strcmp(only, PARTS[i].name) == 0)
--- a/bench/slopes/request_slopes.c
+++ b/bench/slopes/request_slopes.c
@@ -1,17 +1,17 @@
 /**
  * @file request_slopes.c
- * @brief What requests, teams, keys and suspects cost at a VM.
+ * @brief Cost of requests, teams, keys and suspects at a VM.
  */
 #include <stdio.h>
 
 #include "slopes.h"
 #include "world.h"
 
-/** Until VMs know each other and the ledger has its witnesses, ms. */
+/** Time until VMs know each other and the ledger has its witnesses, ms. */
 #define SETTLE_MS 15000
-/** Bytes of a call's body. */
+/** Size of a call's body, bytes. */
 #define CALL_BYTES 200
-/** The plain service of the worlds. */
+/** Number of the plain service, see world_put_config(). */
 #define PLAIN_SERVICE 99
 
 static void add_requests(fit_t *, uint32_t);
@@ -19,7 +19,7 @@
 static void add_teams(fit_t[], uint32_t);
 static void add_keys(fit_t[], uint32_t);
 static void add_suspects(fit_t[], uint32_t);
-static size_t weigh_open(uint32_t, uint32_t);
+static size_t measure_open_bytes(uint32_t, uint32_t);
 
 void
 slopes_of_requests(fit_bounds_t *bounds)
@@ -90,15 +90,15 @@
 		fit_print(&fits[i], bounds);
 }
 
-/** Requests that stay open: the state of a VM with them. */
+/** State of a VM with open requests. */
 static void
 add_requests(fit_t *fit, uint32_t open)
 {
-	fit_add(fit, open, (double)weigh_open(open, 1));
+	fit_add(fit, open, (double)measure_open_bytes(open, 1));
 }
 
 static size_t
-weigh_open(uint32_t open, uint32_t teams)
+measure_open_bytes(uint32_t open, uint32_t teams)
 {
 	world_plan_t plan = {.domains = 1,
 	    .vms = 1,
@@ -116,12 +116,12 @@
 		(void)snprintf(team, sizeof(team), "team-%05u", i % teams);
 		world_request(world, 0, i % plan.services, team, NULL, NULL);
 	}
-	bytes = world_weigh(world, 0);
+	bytes = world_free_core(world, 0);
 	world_destroy(world);
 	return bytes;
 }
 
-/** Processor time of a request, by servers it may go to. */
+/** Processor time of a request, by the number of servers to choose from. */
 static void
 add_server_choice(fit_t *fit, uint32_t servers)
 {
@@ -148,7 +148,8 @@
 	world_destroy(world);
 }
 
-/** One request of each team at once; then all have ended long ago. */
+/** One request of each team: state while all are open, and long after all
+ * have ended. */
 static void
 add_teams(fit_t fits[], uint32_t teams)
 {
@@ -171,12 +172,12 @@
 	fit_add(&fits[2], teams,
 	    (double)world_counts(world, 0)->request_ns / 1e3 / teams);
 	world_run(world, 120000);
-	fit_add(&fits[1], teams, (double)world_weigh(world, 0));
+	fit_add(&fits[1], teams, (double)world_free_core(world, 0));
 	world_destroy(world);
-	fit_add(&fits[0], teams, (double)weigh_open(teams, teams));
+	fit_add(&fits[0], teams, (double)measure_open_bytes(teams, teams));
 }
 
-/** Keyed calls at a domain of two VMs: each keeps all records. */
+/** Calls with keys in a domain of two VMs, each of which stores all records. */
 static void
 add_keys(fit_t fits[], uint32_t keys)
 {
@@ -191,7 +192,7 @@
 	jj_bytes_t body = {text, CALL_BYTES};
 	world_t *world = world_create(&plan);
 	const world_counts_t *counts;
-	int64_t calm_ns;
+	int64_t idle_ns;
 	uint32_t i;
 
 	for (i = 0; i < CALL_BYTES; i++)
@@ -201,7 +202,7 @@
 	world_reset(world);
 	world_run(world, (jj_ms_t)keys);
 	counts = world_counts(world, 0);
-	calm_ns = counts->control_ns + counts->request_ns;
+	idle_ns = counts->control_ns + counts->request_ns;
 	world_reset(world);
 	for (i = 0; i < keys; i++) {
 		(void)snprintf(key, sizeof(key), "order-2026-12-02-%08u", i);
@@ -224,9 +225,9 @@
 		counts->bytes_of[JJ_MESSAGE_RESOLVE]) *
 		2);
 	fit_add(&fits[3], keys,
-	    (double)(counts->control_ns + counts->request_ns - calm_ns) / 1e3);
+	    (double)(counts->control_ns + counts->request_ns - idle_ns) / 1e3);
 	world_run(world, 2000);
-	fit_add(&fits[0], keys, (double)world_weigh(world, 0));
+	fit_add(&fits[0], keys, (double)world_free_core(world, 0));
 	world_destroy(world);
 }
 
@@ -236,7 +237,7 @@
 	static const uint32_t checks = 200000;
 	jj_quarantine_settings_t settings = {2, 600000, 3600000, 65536};
 	jj_actions_t actions = TAILQ_HEAD_INITIALIZER(actions);
-	size_t before = world_heap();
+	size_t before = world_heap_bytes();
 	jj_quarantine_t *quarantine = jj_quarantine_create(&settings);
 	jj_crash_t crash = {.suspect_count = 1};
 	int64_t begin_ns;
@@ -250,7 +251,7 @@
 		jj_quarantine_take_crash(quarantine, &crash, 1000, &actions);
 		jj_actions_clear(&actions);
 	}
-	fit_add(&fits[0], count, (double)(world_heap() - before));
+	fit_add(&fits[0], count, (double)(world_heap_bytes() - before));
 	begin_ns = world_cpu_ns();
 	for (i = 0; i < checks; i++)
 		refused += jj_quarantine_check(quarantine,
--- a/bench/slopes/store.c
+++ b/bench/slopes/store.c
@@ -1,6 +1,6 @@
 /**
  * @file store.c
- * @brief The platform's objects, lists and watches for one process.
+ * @brief In-process store with the platform's objects, lists and watches.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -10,8 +10,8 @@
 #include "store.h"
 
 #define BUCKETS 4096
-/** Most items of a list or a watch's answer, as at the platform. */
-#define ITEMS_MOST 1000
+/** Maximum of items in the answer to a list call, as at the platform. */
+#define ITEMS_MAX 1000
 
 typedef struct object {
 	TAILQ_ENTRY(object) link;
@@ -23,7 +23,7 @@
 
 struct store {
 	uint64_t revision;
-	/* Ordered by key, as lists are; written ones are few. */
+	/* Ordered by key, as list answers are; writes are rare. */
 	TAILQ_HEAD(object_list, object) objects;
 	LIST_HEAD(, object) buckets[BUCKETS];
 	jj_bytes_t vms;
@@ -81,7 +81,7 @@
 }
 
 bool
-store_answer(store_t *store, const jj_platform_call_t *call, bool last,
+store_answer(store_t *store, const jj_platform_call_t *call, bool timed_out,
     jj_platform_result_t *result)
 {
 	const object_t *object = NULL;
@@ -106,7 +106,7 @@
 		list(store, call, result);
 		return true;
 	case JJ_PLATFORM_WATCH:
-		return watch(store, call, last, result);
+		return watch(store, call, timed_out, result);
 	case JJ_PLATFORM_VMS:
 		result->version = 1;
 		result->value = jj_bytes_copy(store->vms.data, store->vms.size);
@@ -144,7 +144,7 @@
 
 	(void)snprintf(object->key, sizeof(object->key), "%s", key);
 	LIST_INSERT_HEAD(&store->buckets[bucket_of(key)], object, bucket);
-	/* Tables of a size are put in by rising keys: look from the end. */
+	/* Most keys are inserted in rising order, so search from the end. */
 	TAILQ_FOREACH_REVERSE(before, &store->objects, object_list, link)
 	{
 		if (strcmp(before->key, key) < 0)
@@ -184,7 +184,7 @@
 		result->version = object->version;
 		return;
 	}
-	/* A delete may come without a version. */
+	/* A delete without a version is unconditional. */
 	if (call->op != JJ_PLATFORM_CREATE &&
 	    (object == NULL ||
 		(object->version != call->version &&
@@ -206,7 +206,7 @@
 list(const store_t *store, const jj_platform_call_t *call,
     jj_platform_result_t *result)
 {
-	size_t limit = call->limit > 0 ? (size_t)call->limit : ITEMS_MOST;
+	size_t limit = call->limit > 0 ? (size_t)call->limit : ITEMS_MAX;
 	size_t prefix = strlen(call->key);
 	const object_t *object;
 
@@ -225,7 +225,7 @@
 }
 
 static bool
-watch(const store_t *store, const jj_platform_call_t *call, bool last,
+watch(const store_t *store, const jj_platform_call_t *call, bool timed_out,
     jj_platform_result_t *result)
 {
 	size_t prefix = strlen(call->key);
@@ -238,7 +238,7 @@
 		    strncmp(object->key, call->key, prefix) == 0)
 			add_item(result, object, false);
 	}
-	return last || result->item_count > 0;
+	return timed_out || result->item_count > 0;
 }
 
 static void
--- a/bench/slopes/world.c
+++ b/bench/slopes/world.c
@@ -1,6 +1,6 @@
 /**
  * @file world.c
- * @brief Many cores in virtual time, with all they say counted.
+ * @brief Runs many cores in virtual time and counts their messages and calls.
  */
 #include <malloc.h>
 #include <stdio.h>
@@ -12,38 +12,39 @@
 #include "adapters/wire.h"
 #include "world.h"
 
-/** One way between VMs, ms: a domain's VMs are about that far apart. */
-#define MAIL_MS 1
-/** The platform answers within, ms. */
+/** One-way delay between VMs, ms: about that within a domain. */
+#define NETWORK_MS 1
+/** Time until the platform answers, ms. */
 #define PLATFORM_MS 3
 #define CONFIG_KEY "config/current"
 
-/** A message under way, encoded. */
-typedef struct mail {
-	STAILQ_ENTRY(mail) link;
+/** An encoded message in transit. */
+typedef struct delivery {
+	STAILQ_ENTRY(delivery) link;
 	jj_ms_t due_ms;
 	size_t to;
 	jj_bytes_t bytes;
-} mail_t;
+} delivery_t;
 
-/** A platform call under way. */
+/** An open platform call. */
 typedef struct call {
 	TAILQ_ENTRY(call) link;
 	size_t from;
-	jj_ms_t due_ms; /**< answered then; a watch: at the latest */
-	uint64_t looked; /**< a watch: revision it was last tried at */
+	jj_ms_t due_ms; /**< time of the answer; for a watch, the latest one */
+	uint64_t
+	    tried_revision; /**< revision at which a watch was last tried */
 	jj_platform_call_t call;
 } call_t;
 
-/** What a server will say of a request. */
-typedef struct stage {
-	STAILQ_ENTRY(stage) link;
+/** A scheduled event of a server on a request. */
+typedef struct scheduled {
+	STAILQ_ENTRY(scheduled) link;
 	jj_ms_t due_ms;
 	size_t vm;
 	jj_backend_event_t event;
-} stage_t;
+} scheduled_t;
 
-STAILQ_HEAD(stages, stage);
+STAILQ_HEAD(scheduled_list, scheduled);
 
 typedef struct {
 	jj_core_t *core;
@@ -61,32 +62,32 @@
 	vm_t *vms;
 	store_t *store;
 	uint64_t request;
-	STAILQ_HEAD(, mail) mails;
+	STAILQ_HEAD(, delivery) deliveries;
 	TAILQ_HEAD(, call) calls;
-	struct stages firsts; /**< each list in order of time */
-	struct stages tokens;
-	struct stages ends;
+	struct scheduled_list firsts; /**< each list is ordered by time */
+	struct scheduled_list tokens;
+	struct scheduled_list ends;
 };
 
 static void create_vm(world_t *, size_t);
-static void learn_servers(world_t *, jj_core_t *);
-static void name_server(jj_server_t *, const world_plan_t *, uint32_t);
-static void put_list(world_t *);
+static void add_servers(world_t *, jj_core_t *);
+static void fill_server(jj_server_t *, const world_plan_t *, uint32_t);
+static void put_vm_list(world_t *);
 static jj_ms_t next_time(const world_t *);
 static void tick_all(world_t *);
 static void send_requests(world_t *);
-static void deliver_mail(world_t *);
+static void deliver_messages(world_t *);
 static void answer_calls(world_t *);
 static bool answer_call(world_t *, call_t *);
-static void run_stages(world_t *, struct stages *);
-static void go_on(world_t *, const stage_t *);
-static void add_stage(world_t *, struct stages *, size_t,
+static void run_scheduled(world_t *, struct scheduled_list *);
+static void handle_scheduled(world_t *, const scheduled_t *);
+static void schedule_event(world_t *, struct scheduled_list *, size_t,
     const jj_backend_event_t *, jj_backend_kind_t, jj_ms_t);
 static void step(world_t *, size_t, const jj_event_t *, bool);
 static void carry_out(world_t *, size_t, const jj_action_t *);
 static void send(world_t *, size_t, const jj_action_t *);
 static void call_platform(world_t *, size_t, const jj_platform_call_t *);
-static void begin(world_t *, size_t, const jj_backend_start_t *);
+static void start_request(world_t *, size_t, const jj_backend_start_t *);
 static size_t find_vm(const world_t *, const jj_name_t *);
 static jj_ms_t earlier(jj_ms_t, jj_ms_t);
 
@@ -98,7 +99,7 @@
 
 	world->plan = *plan;
 	world->now = 1000;
-	STAILQ_INIT(&world->mails);
+	STAILQ_INIT(&world->deliveries);
 	TAILQ_INIT(&world->calls);
 	STAILQ_INIT(&world->firsts);
 	STAILQ_INIT(&world->tokens);
@@ -111,7 +112,7 @@
 	world->vms = jj_alloc(world->vm_count * sizeof(*world->vms));
 	for (i = 0; i < world->vm_count; i++)
 		create_vm(world, i);
-	put_list(world);
+	put_vm_list(world);
 	world_put_config(world, 1, plan->teams);
 	return world;
 }
@@ -119,22 +120,23 @@
 void
 world_destroy(world_t *world)
 {
-	struct stages *lists[] = {&world->firsts, &world->tokens, &world->ends};
-	stage_t *stage;
-	mail_t *mail;
+	struct scheduled_list *lists[] = {
+	    &world->firsts, &world->tokens, &world->ends};
+	scheduled_t *scheduled;
+	delivery_t *delivery;
 	call_t *call;
 	size_t i;
 
 	for (i = 0; i < sizeof(lists) / sizeof(lists[0]); i++) {
-		while ((stage = STAILQ_FIRST(lists[i])) != NULL) {
+		while ((scheduled = STAILQ_FIRST(lists[i])) != NULL) {
 			STAILQ_REMOVE_HEAD(lists[i], link);
-			free(stage);
+			free(scheduled);
 		}
 	}
-	while ((mail = STAILQ_FIRST(&world->mails)) != NULL) {
-		STAILQ_REMOVE_HEAD(&world->mails, link);
-		jj_bytes_free(&mail->bytes);
-		free(mail);
+	while ((delivery = STAILQ_FIRST(&world->deliveries)) != NULL) {
+		STAILQ_REMOVE_HEAD(&world->deliveries, link);
+		jj_bytes_free(&delivery->bytes);
+		free(delivery);
 	}
 	while ((call = TAILQ_FIRST(&world->calls)) != NULL) {
 		TAILQ_REMOVE(&world->calls, call, link);
@@ -154,11 +156,11 @@
 	jj_ms_t end = world->now + ms;
 
 	while (world->now < end) {
-		deliver_mail(world);
+		deliver_messages(world);
 		answer_calls(world);
-		run_stages(world, &world->firsts);
-		run_stages(world, &world->tokens);
-		run_stages(world, &world->ends);
+		run_scheduled(world, &world->firsts);
+		run_scheduled(world, &world->tokens);
+		run_scheduled(world, &world->ends);
 		send_requests(world);
 		tick_all(world);
 		world->now = earlier(next_time(world), end);
@@ -273,17 +275,17 @@
 }
 
 size_t
-world_weigh(world_t *world, size_t vm)
+world_free_core(world_t *world, size_t vm)
 {
-	size_t before = world_heap();
+	size_t before = world_heap_bytes();
 
 	jj_core_destroy(world->vms[vm].core);
 	world->vms[vm].core = NULL;
-	return before - world_heap();
+	return before - world_heap_bytes();
 }
 
 size_t
-world_heap(void)
+world_heap_bytes(void)
 {
 	struct mallinfo2 info = mallinfo2();
 
@@ -304,7 +306,7 @@
 {
 	const world_plan_t *plan = &world->plan;
 	vm_t *vm = &world->vms[number];
-	char why[JJ_SETTINGS_WHY_MAX];
+	char error[JJ_SETTINGS_WHY_MAX];
 	char text[1024];
 	jj_settings_t settings;
 	uint32_t domain = 0;
@@ -324,8 +326,8 @@
 	    "neighbours = \"%s\"\n[platform]\naddress = \"10.0.0.2:9000\"\n",
 	    vm->name.text, vm->domain.text, vm->address);
 	if (!jj_settings_parse(
-		&settings, text, strlen(text), "bench", why, sizeof(why))) {
-		(void)fprintf(stderr, "%s\n", why);
+		&settings, text, strlen(text), "bench", error, sizeof(error))) {
+		(void)fprintf(stderr, "%s\n", error);
 		exit(EXIT_FAILURE);
 	}
 	settings.core.incarnation = 1000 + number;
@@ -344,31 +346,31 @@
 	vm->core = jj_core_create(&settings.core);
 	jj_settings_clear(&settings);
 	if (domain == 0)
-		learn_servers(world, vm->core);
-	/* Spread, as starts are. */
+		add_servers(world, vm->core);
+	/* Spread the VMs' first requests over 100 ms. */
 	vm->next_request_ms = world->now + (jj_ms_t)(number * 7 % 100);
 }
 
 static void
-learn_servers(world_t *world, jj_core_t *core)
+add_servers(world_t *world, jj_core_t *core)
 {
 	jj_server_t server;
 	uint32_t i;
 
 	for (i = 0; i < world->plan.servers; i++) {
-		name_server(&server, &world->plan, i);
+		fill_server(&server, &world->plan, i);
 		jj_core_learn_server(core, &server);
 	}
-	/* The plain service, for calls with keys. */
-	name_server(&server, &world->plan, 0);
+	/* The server of the plain service, for calls with idempotency keys. */
+	fill_server(&server, &world->plan, 0);
 	(void)jj_name_set(&server.name, "server-plain");
 	(void)jj_name_set(&server.service, "service-99");
 	jj_core_learn_server(core, &server);
 }
 
-/** Servers past those of domain-00 belong to the other domains in turn. */
+/** Servers after those of domain-00 are assigned to 22 others round-robin. */
 static void
-name_server(jj_server_t *server, const world_plan_t *plan, uint32_t number)
+fill_server(jj_server_t *server, const world_plan_t *plan, uint32_t number)
 {
 	uint32_t domain = 0;
 	char text[JJ_NAME_MAX + 1];
@@ -388,7 +390,7 @@
 }
 
 static void
-put_list(world_t *world)
+put_vm_list(world_t *world)
 {
 	const world_plan_t *plan = &world->plan;
 	json_t *vms = json_array();
@@ -404,7 +406,7 @@
 			world->vms[i].domain.text, "address",
 			world->vms[i].address, "state", "live"));
 	for (i = 0; i < plan->servers + plan->listed_elsewhere; i++) {
-		name_server(&server, plan, i);
+		fill_server(&server, plan, i);
 		json_array_append_new(vms,
 		    json_pack("{s:s,s:s,s:s,s:s,s:s,s:s}", "id",
 			server.name.text, "kind", "server", "domain",
@@ -425,7 +427,7 @@
 static jj_ms_t
 next_time(const world_t *world)
 {
-	const struct stages *lists[] = {
+	const struct scheduled_list *lists[] = {
 	    &world->firsts, &world->tokens, &world->ends};
 	jj_ms_t next = world->now + 1000;
 	const call_t *call;
@@ -437,8 +439,8 @@
 		if (world->plan.rate > 0 && i < world->plan.vms)
 			next = earlier(next, world->vms[i].next_request_ms);
 	}
-	if (!STAILQ_EMPTY(&world->mails))
-		next = earlier(next, STAILQ_FIRST(&world->mails)->due_ms);
+	if (!STAILQ_EMPTY(&world->deliveries))
+		next = earlier(next, STAILQ_FIRST(&world->deliveries)->due_ms);
 	for (i = 0; i < sizeof(lists) / sizeof(lists[0]); i++) {
 		if (!STAILQ_EMPTY(lists[i]))
 			next = earlier(next, STAILQ_FIRST(lists[i])->due_ms);
@@ -446,7 +448,7 @@
 	TAILQ_FOREACH(call, &world->calls, link)
 	{
 		next = earlier(next, call->due_ms);
-		if (call->looked != store_revision(world->store))
+		if (call->tried_revision != store_revision(world->store))
 			next = earlier(next, world->now + PLATFORM_MS);
 	}
 	return next > world->now ? next : world->now + 1;
@@ -488,31 +490,31 @@
 }
 
 static void
-deliver_mail(world_t *world)
+deliver_messages(world_t *world)
 {
 	jj_event_t event = {.kind = JJ_EVENT_MESSAGE};
 	jj_message_t message;
 	int64_t begin_ns;
-	mail_t *mail;
+	delivery_t *delivery;
 	vm_t *vm;
 
-	while ((mail = STAILQ_FIRST(&world->mails)) != NULL &&
-	    mail->due_ms <= world->now) {
-		STAILQ_REMOVE_HEAD(&world->mails, link);
-		vm = &world->vms[mail->to];
+	while ((delivery = STAILQ_FIRST(&world->deliveries)) != NULL &&
+	    delivery->due_ms <= world->now) {
+		STAILQ_REMOVE_HEAD(&world->deliveries, link);
+		vm = &world->vms[delivery->to];
 		begin_ns = world_cpu_ns();
 		if (vm->core != NULL &&
-		    jj_wire_decode(mail->bytes.data, mail->bytes.size,
+		    jj_wire_decode(delivery->bytes.data, delivery->bytes.size,
 			&message) == JJ_WIRE_OK) {
 			vm->counts.control_ns += world_cpu_ns() - begin_ns;
 			vm->counts.received++;
-			vm->counts.received_bytes += mail->bytes.size;
+			vm->counts.received_bytes += delivery->bytes.size;
 			event.body.message = &message;
-			step(world, mail->to, &event, false);
+			step(world, delivery->to, &event, false);
 			jj_message_clear(&message);
 		}
-		jj_bytes_free(&mail->bytes);
-		free(mail);
+		jj_bytes_free(&delivery->bytes);
+		free(delivery);
 	}
 }
 
@@ -542,9 +544,9 @@
 	jj_platform_result_t result;
 
 	if (!is_due &&
-	    (!is_watch || call->looked == store_revision(world->store)))
+	    (!is_watch || call->tried_revision == store_revision(world->store)))
 		return false;
-	call->looked = store_revision(world->store);
+	call->tried_revision = store_revision(world->store);
 	if (!store_answer(world->store, &call->call, is_due, &result))
 		return false;
 	if (vm->core != NULL) {
@@ -558,58 +560,60 @@
 }
 
 static void
-run_stages(world_t *world, struct stages *list)
+run_scheduled(world_t *world, struct scheduled_list *list)
 {
-	stage_t *stage;
+	scheduled_t *scheduled;
 
-	while ((stage = STAILQ_FIRST(list)) != NULL &&
-	    stage->due_ms <= world->now) {
+	while ((scheduled = STAILQ_FIRST(list)) != NULL &&
+	    scheduled->due_ms <= world->now) {
 		STAILQ_REMOVE_HEAD(list, link);
-		go_on(world, stage);
-		free(stage);
+		handle_scheduled(world, scheduled);
+		free(scheduled);
 	}
 }
 
 static void
-go_on(world_t *world, const stage_t *stage)
+handle_scheduled(world_t *world, const scheduled_t *scheduled)
 {
 	static char answer[] = "{\"run\":1}";
 	jj_event_t event = {.kind = JJ_EVENT_BACKEND};
 	jj_ms_t left = world->plan.serve_ms - world->plan.first_ms;
-	vm_t *vm = &world->vms[stage->vm];
+	vm_t *vm = &world->vms[scheduled->vm];
 
 	if (vm->core == NULL)
 		return;
-	event.body.backend.event = stage->event;
+	event.body.backend.event = scheduled->event;
 	event.body.backend.status = 200;
-	if (stage->event.kind == JJ_BACKEND_DONE) {
+	if (scheduled->event.kind == JJ_BACKEND_DONE) {
 		event.body.backend.body.data = answer;
 		event.body.backend.body.size = sizeof(answer) - 1;
 		vm->counts.ended++;
 	}
-	step(world, stage->vm, &event, true);
-	if (stage->event.kind == JJ_BACKEND_FIRST)
-		add_stage(world, &world->ends, stage->vm, &stage->event,
-		    JJ_BACKEND_DONE, left);
-	if (world->plan.tokens_ms > 0 && stage->event.kind != JJ_BACKEND_DONE &&
-	    stage->event.tokens < left / world->plan.tokens_ms)
-		add_stage(world, &world->tokens, stage->vm, &stage->event,
-		    JJ_BACKEND_TOKENS, world->plan.tokens_ms);
-}
-
-/** The event's count of tokens rises by one with each report. */
+	step(world, scheduled->vm, &event, true);
+	if (scheduled->event.kind == JJ_BACKEND_FIRST)
+		schedule_event(world, &world->ends, scheduled->vm,
+		    &scheduled->event, JJ_BACKEND_DONE, left);
+	if (world->plan.tokens_ms > 0 &&
+	    scheduled->event.kind != JJ_BACKEND_DONE &&
+	    scheduled->event.tokens < left / world->plan.tokens_ms)
+		schedule_event(world, &world->tokens, scheduled->vm,
+		    &scheduled->event, JJ_BACKEND_TOKENS,
+		    world->plan.tokens_ms);
+}
+
+/** Schedules a server's event; it reports one token more than @p event. */
 static void
-add_stage(world_t *world, struct stages *list, size_t vm,
+schedule_event(world_t *world, struct scheduled_list *list, size_t vm,
     const jj_backend_event_t *event, jj_backend_kind_t kind, jj_ms_t after_ms)
 {
-	stage_t *stage = jj_alloc(sizeof(*stage));
+	scheduled_t *scheduled = jj_alloc(sizeof(*scheduled));
 
-	stage->due_ms = world->now + after_ms;
-	stage->vm = vm;
-	stage->event = *event;
-	stage->event.kind = kind;
-	stage->event.tokens++;
-	STAILQ_INSERT_TAIL(list, stage, link);
+	scheduled->due_ms = world->now + after_ms;
+	scheduled->vm = vm;
+	scheduled->event = *event;
+	scheduled->event.kind = kind;
+	scheduled->event.tokens++;
+	STAILQ_INSERT_TAIL(list, scheduled, link);
 }
 
 static void
@@ -647,7 +651,7 @@
 		call_platform(world, vm, &action->body.platform);
 		break;
 	case JJ_ACTION_BACKEND_START:
-		begin(world, vm, &action->body.start);
+		start_request(world, vm, &action->body.start);
 		break;
 	case JJ_ACTION_ANSWER:
 		counts->ended++;
@@ -669,20 +673,20 @@
 	const jj_message_t *message = action->body.send.message;
 	size_t to = find_vm(world, &action->body.send.to);
 	int64_t begin_ns = world_cpu_ns();
-	mail_t *mail;
+	delivery_t *delivery;
 
 	if (to == world->vm_count)
 		return;
-	mail = jj_alloc(sizeof(*mail));
-	mail->bytes = jj_wire_encode(message);
+	delivery = jj_alloc(sizeof(*delivery));
+	delivery->bytes = jj_wire_encode(message);
 	counts->control_ns += world_cpu_ns() - begin_ns;
-	mail->due_ms = world->now + MAIL_MS;
-	mail->to = to;
+	delivery->due_ms = world->now + NETWORK_MS;
+	delivery->to = to;
 	counts->sent++;
-	counts->sent_bytes += mail->bytes.size;
+	counts->sent_bytes += delivery->bytes.size;
 	counts->sent_of[message->kind]++;
-	counts->bytes_of[message->kind] += mail->bytes.size;
-	STAILQ_INSERT_TAIL(&world->mails, mail, link);
+	counts->bytes_of[message->kind] += delivery->bytes.size;
+	STAILQ_INSERT_TAIL(&world->deliveries, delivery, link);
 }
 
 static void
@@ -695,10 +699,10 @@
 	kept->call = *call;
 	kept->call.value = jj_bytes_copy(call->value.data, call->value.size);
 	kept->due_ms = world->now + PLATFORM_MS;
-	kept->looked = store_revision(world->store);
+	kept->tried_revision = store_revision(world->store);
 	if (call->op == JJ_PLATFORM_WATCH) {
 		kept->due_ms = world->now + call->wait_ms;
-		kept->looked = 0;
+		kept->tried_revision = 0;
 	}
 	if (call->op == JJ_PLATFORM_CREATE || call->op == JJ_PLATFORM_UPDATE ||
 	    call->op == JJ_PLATFORM_DELETE)
@@ -709,13 +713,13 @@
 }
 
 static void
-begin(world_t *world, size_t vm, const jj_backend_start_t *start)
+start_request(world_t *world, size_t vm, const jj_backend_start_t *start)
 {
 	jj_backend_event_t event = {0};
 
 	event.request = start->request;
 	event.attempt = start->attempt;
-	add_stage(world, &world->firsts, vm, &event, JJ_BACKEND_FIRST,
+	schedule_event(world, &world->firsts, vm, &event, JJ_BACKEND_FIRST,
 	    world->plan.first_ms);
 }
 
--- a/bench/vms.c
+++ b/bench/vms.c
@@ -1,6 +1,6 @@
 /**
  * @file vms.c
- * @brief VMs with their cores: what they hear and what they do.
+ * @brief Simulated VMs: delivers events to their cores, carries out actions.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -17,7 +17,7 @@
 
 static void create_vm(world_t *, uint32_t);
 static jj_bytes_t make_config(const bench_scenario_t *);
-static void learn_servers(world_t *, vm_t *);
+static void add_servers(world_t *, vm_t *);
 static void do_start(world_t *, uint32_t, const jj_backend_start_t *);
 static void do_answer(world_t *, const jj_answer_t *);
 static uint32_t find_index(const char *, const char *);
@@ -60,9 +60,9 @@
 	}
 }
 
-/* A frozen VM finds its events in their order when it goes on. */
+/* A paused VM handles its deferred events in order when it resumes. */
 bool
-vms_hold(world_t *world, const event_t *event)
+vms_defer_event(world_t *world, const event_t *event)
 {
 	switch (event->kind) {
 	case EVENT_BACKEND:
@@ -75,34 +75,34 @@
 	default:
 		return false;
 	}
-	if (!world->vms[event->target].frozen)
+	if (!world->vms[event->target].paused)
 		return false;
-	world->held =
-	    jj_realloc(world->held, (world->held_count + 1) * sizeof(*event));
-	world->held[world->held_count++] = *event;
+	world->deferred = jj_realloc(
+	    world->deferred, (world->deferred_count + 1) * sizeof(*event));
+	world->deferred[world->deferred_count++] = *event;
 	return true;
 }
 
 void
-vms_thaw(world_t *world, uint32_t vm)
+vms_resume(world_t *world, uint32_t vm)
 {
 	size_t kept = 0;
 	size_t i;
 
-	world->vms[vm].frozen = false;
-	for (i = 0; i < world->held_count; i++) {
-		if (world->held[i].target != vm) {
-			world->held[kept++] = world->held[i];
+	world->vms[vm].paused = false;
+	for (i = 0; i < world->deferred_count; i++) {
+		if (world->deferred[i].target != vm) {
+			world->deferred[kept++] = world->deferred[i];
 			continue;
 		}
-		world->held[i].at_us = world->now_us;
-		events_push(&world->events, &world->held[i]);
+		world->deferred[i].at_us = world->now_us;
+		events_push(&world->events, &world->deferred[i]);
 	}
-	world->held_count = kept;
+	world->deferred_count = kept;
 }
 
 void
-vms_take_probe(world_t *world, const event_t *event)
+vms_handle_probe(world_t *world, const event_t *event)
 {
 	vm_t *vm = &world->vms[event->target];
 	jj_actions_t actions = TAILQ_HEAD_INITIALIZER(actions);
@@ -115,11 +115,11 @@
 	else
 		jj_fleet_note(vm->fleet, &server, JJ_SERVER_UP, event->boot,
 		    world_now_ms(world), &actions, &is_news);
-	vms_settle(world, event->target, &actions);
+	vms_do_actions_and_tick(world, event->target, &actions);
 }
 
 void
-vms_take_backend(world_t *world, const event_t *event)
+vms_handle_backend(world_t *world, const event_t *event)
 {
 	vm_t *vm = &world->vms[event->target];
 	jj_actions_t actions = TAILQ_HEAD_INITIALIZER(actions);
@@ -127,11 +127,11 @@
 	bool batch = (event->request & BATCH_BIT) != 0;
 
 	if (batch && world->policy.kind == POLICY_CAP) {
-		batch_take_cap_event(world, event);
+		batch_handle_cap_event(world, event);
 		return;
 	}
 	if (!batch)
-		callers_take_event(world, event);
+		callers_handle_event(world, event);
 	else if (event->backend == JJ_BACKEND_DONE)
 		batch_end(world, event->request, true);
 	backend.request = event->request;
@@ -140,11 +140,11 @@
 	backend.tokens = event->backend == JJ_BACKEND_TOKENS ? 1 : 0;
 	jj_dispatch_take_event(
 	    vm->dispatch, &backend, world_now_ms(world), &actions);
-	vms_settle(world, event->target, &actions);
+	vms_do_actions_and_tick(world, event->target, &actions);
 }
 
 void
-vms_take_timeout(world_t *world, const event_t *event)
+vms_handle_timeout(world_t *world, const event_t *event)
 {
 	event_t backend = *event;
 
@@ -153,11 +153,11 @@
 		return;
 	backend.kind = EVENT_BACKEND;
 	backend.backend = JJ_BACKEND_TIMEOUT;
-	vms_take_backend(world, &backend);
+	vms_handle_backend(world, &backend);
 }
 
 void
-vms_take_message(world_t *world, const event_t *event)
+vms_handle_message(world_t *world, const event_t *event)
 {
 	vm_t *vm = &world->vms[event->target];
 	jj_message_t *message = event->pointer;
@@ -191,11 +191,11 @@
 	}
 	jj_message_clear(message);
 	free(message);
-	vms_settle(world, event->target, &actions);
+	vms_do_actions_and_tick(world, event->target, &actions);
 }
 
 void
-vms_take_tick(world_t *world, const event_t *event)
+vms_handle_tick(world_t *world, const event_t *event)
 {
 	uint32_t index = event->target;
 	vm_t *vm = &world->vms[index];
@@ -211,14 +211,14 @@
 	}
 	if (jj_dispatch_next(vm->dispatch) <= now)
 		jj_dispatch_tick(vm->dispatch, now, &actions);
-	vms_settle(world, index, &actions);
+	vms_do_actions_and_tick(world, index, &actions);
 	if (world->policy.kind == POLICY_CAP)
 		batch_offer_capped(world);
 	world_push(world, EVENT_TICK, world->now_us + TICK_US, index);
 }
 
 void
-vms_settle(world_t *world, uint32_t vm, jj_actions_t *actions)
+vms_do_actions_and_tick(world_t *world, uint32_t vm, jj_actions_t *actions)
 {
 	jj_dispatch_t *dispatch = world->vms[vm].dispatch;
 
@@ -307,7 +307,7 @@
 	JJ_INVARIANT(jj_config_take(vm->config, &object, &actions));
 	jj_actions_clear(&actions);
 	jj_bytes_free(&object);
-	learn_servers(world, vm);
+	add_servers(world, vm);
 	vm->dispatch = jj_dispatch_create(
 	    &dispatch, vm->config, vm->fleet, vm->member, vm->quarantine);
 }
@@ -330,7 +330,7 @@
 }
 
 static void
-learn_servers(world_t *world, vm_t *vm)
+add_servers(world_t *world, vm_t *vm)
 {
 	jj_server_t server = {0};
 	uint32_t i;
@@ -370,7 +370,7 @@
 	if ((answer->request & BATCH_BIT) != 0)
 		batch_end(world, answer->request, false);
 	else
-		callers_take_answer(world, answer);
+		callers_handle_answer(world, answer);
 }
 
 static uint32_t
--- a/bench/world.c
+++ b/bench/world.c
@@ -1,6 +1,6 @@
 /**
  * @file world.c
- * @brief One run: set up, the loop over its events, and the end.
+ * @brief One run: set-up, event loop and clean-up.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -21,18 +21,18 @@
 static void begin_batch(world_t *, int64_t);
 
 static handler_t *const handlers[] = {
-    [EVENT_ARRIVAL] = callers_take_arrival,
-    [EVENT_SUBMIT] = servers_take_submit,
-    [EVENT_CANCEL] = servers_take_cancel,
-    [EVENT_STEP] = servers_take_step,
-    [EVENT_BACKEND] = vms_take_backend,
-    [EVENT_TIMEOUT] = vms_take_timeout,
-    [EVENT_MESSAGE] = vms_take_message,
-    [EVENT_TICK] = vms_take_tick,
-    [EVENT_REPORT] = servers_take_report,
-    [EVENT_FAULT] = servers_take_fault,
-    [EVENT_CRASH] = vms_take_probe,
-    [EVENT_UP] = vms_take_probe,
+    [EVENT_ARRIVAL] = callers_handle_arrival,
+    [EVENT_SUBMIT] = servers_handle_submit,
+    [EVENT_CANCEL] = servers_handle_cancel,
+    [EVENT_STEP] = servers_handle_step,
+    [EVENT_BACKEND] = vms_handle_backend,
+    [EVENT_TIMEOUT] = vms_handle_timeout,
+    [EVENT_MESSAGE] = vms_handle_message,
+    [EVENT_TICK] = vms_handle_tick,
+    [EVENT_REPORT] = servers_handle_report,
+    [EVENT_FAULT] = servers_handle_fault,
+    [EVENT_CRASH] = vms_handle_probe,
+    [EVENT_UP] = vms_handle_probe,
 };
 
 void
@@ -50,7 +50,7 @@
 int64_t
 world_at_us(double seconds)
 {
-	return WORLD_WARM_US + (int64_t)(seconds * 1e6);
+	return WORLD_WARM_UP_US + (int64_t)(seconds * 1e6);
 }
 
 jj_ms_t
@@ -96,7 +96,7 @@
 	for (i = 0; i < scenario->servers; i++)
 		engine_create(
 		    &world->engines[i], scenario, scenario->seed * 1000 + i);
-	world->count_us = WORLD_WARM_US;
+	world->next_count_us = WORLD_WARM_UP_US;
 	if (scenario->measures_seconds) {
 		run->second_count = (size_t)scenario->seconds;
 		run->batch_running =
@@ -112,8 +112,8 @@
 	size_t i;
 
 	vms_destroy(world);
-	for (i = 0; i < world->held_count; i++)
-		events_push(&world->events, &world->held[i]);
+	for (i = 0; i < world->deferred_count; i++)
+		events_push(&world->events, &world->deferred[i]);
 	while (events_pop(&world->events, &event)) {
 		if (event.kind == EVENT_MESSAGE)
 			jj_message_clear(event.pointer);
@@ -123,7 +123,7 @@
 		engine_destroy(&world->engines[i]);
 	batch_destroy(world);
 	events_destroy(&world->events);
-	free(world->held);
+	free(world->deferred);
 	free(world);
 }
 
@@ -160,31 +160,31 @@
 
 	while (events_pop(&world->events, &event)) {
 		world->now_us = event.at_us;
-		if (!world->batch_counts && event.at_us >= from_us)
+		if (!world->batch_offered && event.at_us >= from_us)
 			begin_batch(world, from_us);
 		if (event.at_us > world->end_us) {
 			events_push(&world->events, &event);
 			break;
 		}
 		figures_count_batch(world);
-		if (!vms_hold(world, &event))
+		if (!vms_defer_event(world, &event))
 			handlers[event.kind](world, &event);
 	}
 	for (i = 0; i < world->scenario->servers; i++) {
-		engine_settle(&world->engines[i], world->end_us);
+		engine_count_idle(&world->engines[i], world->end_us);
 		world->run->idle_tokens += world->engines[i].idle_tokens;
 	}
 }
 
-/* Room in steps counts from the time on in which batch is offered. */
+/* Idle capacity is counted from the time on at which batch is offered. */
 static void
 begin_batch(world_t *world, int64_t from_us)
 {
 	uint32_t i;
 
-	world->batch_counts = true;
+	world->batch_offered = true;
 	for (i = 0; i < world->scenario->servers; i++) {
-		engine_settle(&world->engines[i], from_us);
+		engine_count_idle(&world->engines[i], from_us);
 		world->engines[i].idle_tokens = 0;
 	}
 }
