--- a/bench/callers.h
+++ b/bench/callers.h
@@ -18,8 +18,8 @@
 /**
  * Hashes the blocks of a prompt.
  * @param prompt its length in tokens.
- * @param own the request; it is mixed into the last block's hash, while all
- * other blocks are shared by the prompts with this prefix.
+ * @param request_id mixed into the last block's hash; all other blocks are
+ * shared by the prompts with this prefix.
  * @param hashes array of JJ_PREFIX_BLOCKS_MAX entries.
  */
 void callers_fill_prefixes(uint64_t prefix, uint32_t prompt,
--- a/bench/hop/answer.c
+++ b/bench/hop/answer.c
@@ -11,7 +11,7 @@
 
 #include "answer.h"
 
-/** Buffer for the longest token of the stand-in engine with its number, bytes. */
+/** Buffer size for the stand-in engine's longest token with its number. */
 #define TOKEN_SIZE 32
 
 /** Progress of the check of an answer's text. */
--- a/bench/hop/load.c
+++ b/bench/hop/load.c
@@ -47,15 +47,13 @@
 	uint32_t started;
 	uint32_t ended;
 	uint32_t open;
-	uint64_t newlines; /**< newlines received; two per server-sent event */
+	uint64_t newlines; /**< received; two per server-sent event */
 	int64_t begin_us;
 	int64_t next_sample_us;
-	int64_t
-	    filled_us; /**< plan->open requests were first open; 0: not yet */
+	int64_t filled_us; /**< first time at full load; 0: not yet */
 	usage_t full_before;
 	uint64_t full_newlines;
-	int64_t
-	    full_begin_us; /**< start of the measurement at full load; 0: none */
+	int64_t full_begin_us; /**< start of measurement; 0: not started */
 };
 
 static bool prepare(run_t *);
@@ -197,7 +195,7 @@
 
 	run->free = exchange->next_free;
 	exchange->target = run->started % plan->target_count;
-	/* Latency counts from the due time, so that a delayed start is included. */
+	/* Latency counts from the due time, to include a delayed start. */
 	exchange->due_us =
 	    plan->rate > 0 ? due_time(run, run->started) : usage_now_us();
 	exchange->first_us = 0;
--- a/bench/hop/usage.c
+++ b/bench/hop/usage.c
@@ -50,7 +50,7 @@
 		return 0;
 	if (fgets(line, sizeof(line), file) == NULL)
 		goto out;
-	/* The process name may hold spaces; fields are counted from the last ')'. */
+	/* The name may hold spaces; fields are counted from the last ')'. */
 	rest = strrchr(line, ')');
 	if (rest == NULL)
 		goto out;
--- a/bench/main.c
+++ b/bench/main.c
@@ -340,7 +340,8 @@
 	report_print_line(scenario->name, name, &best);
 }
 
-/* The bounds file has one table per scenario, named as its file without .toml. */
+/* The bounds file has one table per scenario, named as its file
+ * without .toml. */
 static int
 check_bounds(const options_t *options)
 {
@@ -406,7 +407,8 @@
 	    bound_or_fallback(bounds, "refused", HUGE_VAL), true);
 	within_bound &= check_bound(name, "retried", measured.retried,
 	    bound_or_fallback(bounds, "retried", HUGE_VAL), true);
-	within_bound &= check_bound(name, "unanswered", measured.open, 0, true);
+	within_bound &=
+	    check_bound(name, "unanswered", measured.unanswered, 0, true);
 	within_bound &= check_bound(name, "used", comparison.used,
 	    bound_or_fallback(bounds, "used", 0), false);
 	return within_bound;
--- a/bench/report.c
+++ b/bench/report.c
@@ -128,7 +128,7 @@
 		    measured->others_first.ms[i]);
 	printf("  refused %.4f late %.4f retried %.4f unanswered %.4f\n",
 	    measured->refused, measured->late, measured->retried,
-	    measured->open);
+	    measured->unanswered);
 	printf("  batch items %llu, used %.3f of idle, withdrawn %llu, lost "
 	       "%.3f, messages %llu, score %.3f\n",
 	    (unsigned long long)measured->batch_done, comparison->used,
@@ -150,8 +150,8 @@
 	    "whole_answer",
 	    quantiles_json(&measured->whole, comparison->whole_ratio),
 	    "refused", measured->refused, "late", measured->late, "retried",
-	    measured->retried, "unanswered", measured->open, "batch_items",
-	    (json_int_t)measured->batch_done, "withdrawn",
+	    measured->retried, "unanswered", measured->unanswered,
+	    "batch_items", (json_int_t)measured->batch_done, "withdrawn",
 	    (json_int_t)measured->withdrawn, "lost", measured->lost, "used",
 	    comparison->used, "score", comparison->score, "messages",
 	    (json_int_t)measured->messages);
@@ -222,7 +222,7 @@
 	uint64_t refused = 0;
 	uint64_t late = 0;
 	uint64_t retried = 0;
-	uint64_t open = 0;
+	uint64_t unanswered = 0;
 	const call_t *call;
 	size_t i;
 
@@ -236,7 +236,7 @@
 		late += call->state == CALL_DONE &&
 		    call->end_us - call->arrival_us >
 			(int64_t)scenario->deadline_ms * 1000;
-		open += call->state == CALL_OPEN &&
+		unanswered += call->state == CALL_OPEN &&
 		    end_us - call->arrival_us >
 			(int64_t)scenario->deadline_ms * 1000;
 	}
@@ -245,7 +245,7 @@
 	figures->refused = (double)refused / (double)figures->calls;
 	figures->late = (double)late / (double)figures->calls;
 	figures->retried = (double)retried / (double)figures->calls;
-	figures->open = (double)open / (double)figures->calls;
+	figures->unanswered = (double)unanswered / (double)figures->calls;
 }
 
 /* Cost of an item's prefill: it delays a step by that time, in which the
--- a/bench/report.h
+++ b/bench/report.h
@@ -24,9 +24,8 @@
 	double refused; /**< share of calls answered without a server */
 	double late; /**< share answered after the deadline */
 	double retried; /**< attempts beyond the first, per call */
-	double open; /**< share without an answer past the deadline */
-	double
-	    batch_tokens; /**< of finished items, plus the prefill's cost in tokens */
+	double unanswered; /**< share without an answer past the deadline */
+	double batch_tokens; /**< of finished items, with prefill cost */
 	double idle_tokens;
 	double lost; /**< tokens discarded per token finished */
 	uint64_t batch_done;
--- a/bench/scenario.h
+++ b/bench/scenario.h
@@ -53,8 +53,7 @@
 	double trade; /**< setting `trade` of the service, 0 to 1 */
 	double harm_weight; /**< score = used - harm_weight * harm */
 	uint32_t slots; /**< engine: maximum of running streams */
-	uint32_t
-	    soft; /**< engine: running streams up to which steps keep their length */
+	uint32_t soft; /**< engine: streams that do not slow a step */
 	uint32_t step_ms;
 	uint32_t prefill_us; /**< per uncached prompt token */
 	uint32_t cache_blocks;
@@ -77,7 +76,7 @@
 
 /** Sets the values that a scenario file may override. */
 void scenario_set_defaults(bench_scenario_t *scenario);
-/** Reads a scenario; false with the reason in @p why when it is invalid. */
+/** Reads a scenario; false with the reason in @p error when it is invalid. */
 bool scenario_load(bench_scenario_t *scenario, const char *path, char *error,
     size_t error_size);
 
--- a/bench/slopes/batch_slopes.c
+++ b/bench/slopes/batch_slopes.c
@@ -51,8 +51,7 @@
 	store_t *store;
 	STAILQ_HEAD(, item) items;
 	STAILQ_HEAD(, call) calls;
-	uint32_t
-	    max_running; /**< maximum of items that a worker runs at once */
+	uint32_t max_running; /**< maximum of running items per worker */
 	bool items_end; /**< running items end; false: they run forever */
 	uint64_t reads;
 	uint64_t writes;
@@ -201,7 +200,7 @@
 	destroy_bench(bench);
 }
 
-/** Platform calls per small job, by the number of workers that compete for it. */
+/** Platform calls per small job, by the number of competing workers. */
 static void
 measure_workers(fit_t fits[], uint32_t workers)
 {
--- a/bench/slopes/fit.h
+++ b/bench/slopes/fit.h
@@ -14,8 +14,7 @@
 typedef struct {
 	const char *name; /**< as in bounds.txt and CAPACITY.md */
 	const char *unit; /**< of y, per one of x */
-	bool
-	    counted; /**< deterministic, the same in each run: can be bounded */
+	bool counted; /**< the same in each run: can be bounded */
 	size_t count;
 	double x[FIT_POINTS_MAX];
 	double y[FIT_POINTS_MAX];
--- a/bench/slopes/main.c
+++ b/bench/slopes/main.c
@@ -63,7 +63,7 @@
 		    "[--check FILE]\n");
 		return 2;
 	}
-	/* A fixed seed of the JSON hash tables gives the same bytes in each run. */
+	/* A fixed seed of JSON hash tables gives the same bytes in each run. */
 	json_object_seed(1);
 	for (i = 0; i < sizeof(PARTS) / sizeof(PARTS[0]); i++) {
 		if (only == NULL || strcmp(only, PARTS[i].name) == 0)
--- a/bench/slopes/request_slopes.c
+++ b/bench/slopes/request_slopes.c
@@ -11,7 +11,7 @@
 #define SETTLE_MS 15000
 /** Size of a call's body, bytes. */
 #define CALL_BYTES 200
-/** Number of the plain service, see world_put_config(). */
+/** Number of the plain service; see world_put_config(). */
 #define PLAIN_SERVICE 99
 
 static void add_requests(fit_t *, uint32_t);
--- a/bench/slopes/slopes.h
+++ b/bench/slopes/slopes.h
@@ -1,6 +1,6 @@
 /**
  * @file slopes.h
- * @brief Measurements; each function prints the slopes of one part of the fleet.
+ * @brief Measurements; each function prints the slopes of one part.
  */
 #ifndef BENCH_SLOPES_SLOPES_H
 #define BENCH_SLOPES_SLOPES_H
--- a/bench/slopes/store.h
+++ b/bench/slopes/store.h
@@ -17,7 +17,7 @@
 void store_set_vms(store_t *store, const char *body);
 /**
  * Answers a call; the caller clears @p result.
- * @param last the watch has reached its timeout: answer without events.
+ * @param timed_out the watch has reached its timeout: answer without events.
  * @return false for a watch without events, to be tried again later.
  */
 bool store_answer(store_t *store, const jj_platform_call_t *call,
--- a/bench/slopes/world.c
+++ b/bench/slopes/world.c
@@ -31,8 +31,7 @@
 	TAILQ_ENTRY(call) link;
 	size_t from;
 	jj_ms_t due_ms; /**< time of the answer; for a watch, the latest one */
-	uint64_t
-	    tried_revision; /**< revision at which a watch was last tried */
+	uint64_t tried_revision; /**< of the last try of a watch */
 	jj_platform_call_t call;
 } call_t;
 
--- a/bench/slopes/world.h
+++ b/bench/slopes/world.h
@@ -17,8 +17,7 @@
 	uint32_t vms; /**< in domain-00 */
 	uint32_t vms_elsewhere; /**< running VMs in each other domain */
 	uint32_t servers; /**< in domain-00 */
-	uint32_t
-	    listed_elsewhere; /**< servers of other domains in the VM list */
+	uint32_t listed_elsewhere; /**< other domains' listed servers */
 	uint32_t services; /**< servers are assigned to them round-robin */
 	uint32_t teams; /**< named in the configuration */
 	double rate; /**< online requests per second and VM of domain-00 */
--- a/bench/vms.h
+++ b/bench/vms.h
@@ -23,7 +23,7 @@
 /** Handles and frees a message from another VM. */
 void vms_handle_message(world_t *world, const event_t *event);
 void vms_handle_tick(world_t *world, const event_t *event);
-/** Carries out a VM's actions, then ticks its dispatch if due and offers batch. */
+/** Carries out a VM's actions, ticks its dispatch if due, offers batch. */
 void
 vms_do_actions_and_tick(world_t *world, uint32_t vm, jj_actions_t *actions);
 /** Carries out a VM's actions only. */
--- a/bench/world_state.h
+++ b/bench/world_state.h
@@ -54,8 +54,7 @@
 	bool reports;
 	vm_t vms[BENCH_VMS_MAX];
 	bench_engine_t engines[BENCH_SERVERS_MAX];
-	uint32_t capped_streams
-	    [BENCH_SERVERS_MAX]; /**< batch streams by server, under POLICY_CAP */
+	uint32_t capped_streams[BENCH_SERVERS_MAX]; /**< for POLICY_CAP */
 	bool batch_offered; /**< batch_from_s is reached: batch is offered */
 	LIST_HEAD(, item) items;
 	event_t *deferred; /**< events of paused VMs */
