--- a/tests/system/answer_failure_test.cc
+++ b/tests/system/answer_failure_test.cc
@@ -1,6 +1,6 @@
 /*
- * Failures of answers: each caller receives the whole answer to its own
- * request and only that, or is told that it did not.
+ * Failures while an answer is delivered: each caller receives the complete
+ * answer to its own request and nothing else, or an error.
  */
 #include "tests/system/harness.h"
 
@@ -18,7 +18,7 @@
 	    "\",\"max_tokens\":" + std::to_string(tokens) + ",\"stream\":true}";
 }
 
-/* The text in the events of a stream. */
+/* Concatenates the text of all events of a stream. */
 std::string
 text_in(const std::string &events)
 {
@@ -34,7 +34,7 @@
 	return text;
 }
 
-/* How an engine's stream for a prompt ended; empty: there is none. */
+/* The outcome that an engine recorded for a prompt; empty: no record. */
 std::string
 outcome_of(const standin_t &engine, const std::string &prompt)
 {
@@ -52,10 +52,10 @@
 }
 
 /*
- * An engine's stream ends early: cut short cleanly, broken after its headers,
- * or late past the timeout. A driver who takes the half for the whole loads
- * half an order. Where nothing was passed on yet, another engine
- * gives the whole.
+ * An engine's answer ends early (truncated without an error, or connection
+ * broken after the headers) or arrives after the timeout. A driver who takes a
+ * partial answer for a complete one loads half an order. If no part was
+ * forwarded yet, the request is retried on another engine.
  */
 TEST(AnswerFailure, HalfAnAnswerIsNeverPassedAsWhole)
 {
@@ -63,7 +63,7 @@
 		const char *name;
 		const char *fault;
 		bool streams;
-		bool helper; /* another engine can answer it whole */
+		bool helper; /* another engine can give the complete answer */
 	} cases[] = {
 	    {"truncated, whole", "{\"truncate_next\":3}", false, true},
 	    {"truncated, stream", "{\"truncate_next\":3}", true, false},
@@ -83,8 +83,8 @@
 	options.narrador = ",\"timeout_ms\":700,\"deadline_ms\":4000";
 	for (const auto &row : cases) {
 		SCOPED_TRACE(row.name);
-		/* A fleet of its own: the retries of one row's failures would
-		 * use up the budget of the next. */
+		/* Each row starts its own fleet: retries of one row would use
+		 * up the retry budget of the next. */
 		fleet_t fleet(options);
 		fleet.engines[0].fault(row.fault);
 		if (!row.helper)
@@ -106,12 +106,13 @@
 			const reply_t &reply = stream.finish();
 			std::string text = text_in(reply.body);
 			EXPECT_EQ(text_of(prompt, 8).rfind(text, 0), 0u)
-			    << "another's text: " << reply.body;
+			    << "text of another request: " << reply.body;
 			EXPECT_EQ(reply.has(DONE), text == text_of(prompt, 8))
 			    << reply.body;
 			EXPECT_TRUE(reply.has(DONE) || reply.status != 200 ||
 			    reply.code != CURLE_OK)
-			    << "a half looks like a whole: " << reply.body;
+			    << "a partial answer looks complete: "
+			    << reply.body;
 			EXPECT_TRUE(!row.helper || reply.has(DONE))
 			    << reply.status << " " << reply.body;
 		}
@@ -119,9 +120,9 @@
 }
 
 /*
- * Callers give up on late answers and their connections to the engine are
- * used by the next ones. An answer that arrives then must not reach another
- * caller: each text names the prompt it belongs to.
+ * Requests time out, and their connections to the engine are reused for other
+ * callers. A late answer that arrives on such a connection must not reach
+ * another caller. Each text contains a hash of its prompt.
  */
 TEST(AnswerFailure, LateAnswersReachNobodyElse)
 {
@@ -155,9 +156,9 @@
 }
 
 /*
- * A caller hangs up in the middle of its stream, or of its wait. Its stream
- * at the engine would run on for nobody, and hold a slot that a driver
- * waits for.
+ * A caller disconnects during its stream, or while it waits for an answer.
+ * Unless its stream at the engine is cancelled, that keeps a slot occupied
+ * for which another caller waits.
  */
 TEST(AnswerFailure, VanishedCallerFreesItsSlot)
 {
@@ -195,9 +196,9 @@
 }
 
 /*
- * A caller reads nothing of a long stream. Its stream must not hold the
- * engine's slot for ever, callers beside it must not wait for it, and what it
- * gets in the end must not look whole.
+ * A caller stops reading a long stream. The stream must not occupy the
+ * engine's slot forever, other callers must not be delayed, and the partial
+ * answer must not look complete.
  */
 TEST(AnswerFailure, SlowReaderHarmsNobodyElse)
 {
@@ -209,7 +210,7 @@
 	options.narrador = ",\"timeout_ms\":3000,\"deadline_ms\":6000";
 	options.settings = "[callers]\nstream_bytes = 4096\n";
 	fleet_t fleet(options);
-	/* Fills what the kernel holds between the two in a moment. */
+	/* Fast enough to fill the socket buffers quickly. */
 	fleet.engines[0].fault("{\"slow\":0.02}");
 	stream_t slow(fleet.vm(0, 0).callers + "/v1/completions",
 	    stream_request("slow", 1000000));
--- a/tests/system/backend_contract_test.cc
+++ b/tests/system/backend_contract_test.cc
@@ -1,6 +1,6 @@
 /*
- * The contract of the backend servers' stand-ins, as docs/interfaces/ENGINE.md
- * and SERVICE.md state it. Each case starts processes of its own.
+ * Contract tests of the stand-ins for backend servers, as specified in
+ * docs/interfaces/ENGINE.md and SERVICE.md. Each case starts its own processes.
  */
 #include <unistd.h>
 
@@ -25,7 +25,8 @@
 namespace
 {
 
-/* Sends a request and reads nothing; cleaning up the handle hangs up. */
+/* Sends a request without reading the answer; cleaning up the handle closes
+ * the connection. */
 CURL *
 send_only(
     const std::string &base, const std::string &path, const std::string &body)
@@ -45,8 +46,8 @@
 	return curl;
 }
 
-/* A stand-in's process, killed at the end of its case. Its first line must be
- * the one that names its addresses. */
+/* A stand-in process, killed at the end of its case. Its first log line must
+ * contain its addresses. */
 class backend_t
 {
       public:
@@ -73,7 +74,8 @@
 	}
 	backend_t(const backend_t &) = delete;
 
-	/* A whole line of what was printed, from 0; else empty. */
+	/* A complete line of the log, counted from 0; empty if there is
+	 * none. */
 	std::string
 	line(int number) const
 	{
@@ -108,7 +110,7 @@
 	{
 		return wait_for_url(control + path, part);
 	}
-	/* Asks again until the answer holds a part. */
+	/* Repeats a GET until the body contains a part. */
 	static std::string
 	wait_for_url(const std::string &url, const std::string &part)
 	{
@@ -147,7 +149,7 @@
 	    (stream ? ",\"stream\":true}" : "}");
 }
 
-/* The tokens that a prompt has to bring about. */
+/* The tokens expected for a prompt, from one index up to another. */
 std::string
 text_of(const std::string &prompt, int from, int to)
 {
@@ -162,7 +164,7 @@
 	return text;
 }
 
-/* The text in the events of a streamed answer. */
+/* Concatenates the text of all events of a streamed answer. */
 std::string
 text_in(const std::string &events)
 {
@@ -288,9 +290,10 @@
 }
 
 /*
- * A caller's stream is cut off and it asks to go on, but meanwhile the engine
- * was restarted or the stream is unknown. Ids begin anew on each start, so
- * without the boot's check it would be given someone else's text.
+ * A caller's stream is interrupted and the caller asks to resume it, but the
+ * engine was restarted meanwhile or the stream is unknown. Stream ids restart
+ * with each boot, so without the check of the boot id the caller would receive
+ * another caller's text.
  */
 TEST(EngineContract, ResumesOnlyTheSameStream)
 {
@@ -349,10 +352,10 @@
 }
 
 /*
- * An engine has one slot, and the caller of the stream in it hangs up. The
- * next request must get the slot, also when the lost stream has nothing to
- * write by which the loss would show; else one lost caller takes the engine
- * out of service for good.
+ * An engine has one slot, and the caller of the stream in it disconnects. The
+ * next request must get the slot, even when the lost stream writes nothing, so
+ * that no failed write shows the loss. Otherwise one disconnected caller would
+ * block the engine permanently.
  */
 TEST(EngineContract, FreesTheSlotOfALostCaller)
 {
@@ -409,9 +412,9 @@
 }
 
 /*
- * Two VMs both believe that they direct the engine, and an order is sent
- * again as its answer was lost. An engine that checks the fence refuses the
- * older one; a repeated order must not run twice on either kind.
+ * Two VMs both act as the engine's controller, and an order is resent because
+ * its answer was lost. An engine that checks fences refuses the order with the
+ * older one. A resent order must not run twice, with or without the check.
  */
 TEST(EngineContract, TakesOrders)
 {
@@ -487,9 +490,10 @@
 }
 
 /*
- * An engine is stopped as planned while callers are answered and others wait
- * in its queue. Steps are longer than the looks at whether a caller is still
- * there, so that an answer given up by the stop would show.
+ * An engine is stopped gracefully while some requests run and others wait in
+ * its queue. A step takes longer than the interval of the checks whether the
+ * caller is still connected, so that an answer abandoned by the stop would
+ * fail the test.
  */
 TEST(EngineContract, RunsAtMostItsSlotsAndFinishesBeforeItEnds)
 {
@@ -531,7 +535,8 @@
 		call("POST", engine.data + "/v1/streams/" + id + "/cancel");
 	for (std::thread &caller : callers)
 		caller.join();
-	/* Once this is answered, a live report would have been renewed. */
+	/* By the time this is answered, the load report would have been
+	 * refreshed if it were not frozen. */
 	EXPECT_EQ(call("POST", url, ask("next", 1, false)).status, 200);
 	EXPECT_TRUE(call("GET", engine.data + "/load").has("\"running\":2"));
 	engine.fault("{\"load_frozen\":false}");
--- a/tests/system/batch_failure_test.cc
+++ b/tests/system/batch_failure_test.cc
@@ -1,5 +1,5 @@
 /*
- * Failures of batch jobs: each accepted item completes exactly once, its
+ * Failures during batch jobs: each accepted item completes exactly once, its
  * result stays readable, and a cancelled job stops.
  */
 #include "tests/system/harness.h"
@@ -9,8 +9,8 @@
 namespace
 {
 
-/* Leases short enough for a take-over within a test, parts for several
- * chunks of a small job. */
+/* Leases short enough to be taken over within a test, and parts small enough
+ * that a small job has several chunks. */
 const std::string SHORT_LEASES =
     "[batch]\nlease_ms = 1500\nmargin_ms = 300\ncheckpoint_ms = 400\n"
     "relist_ms = 2000\nitem_retry_ms = 50\n"
@@ -26,7 +26,7 @@
 	return options;
 }
 
-/* Some items of the job are on engines, more of them than given. */
+/* Waits until the engines have started more streams than given. */
 bool
 wait_started(const fleet_t &fleet, long more_than)
 {
@@ -36,9 +36,9 @@
 }
 
 /*
- * A member's job is acknowledged and its VM is lost in the same moment. If
- * the acknowledgement came before the platform held the job, the picking
- * lists would be missing at dawn and nobody would know of them.
+ * A job is acknowledged and its VM fails immediately afterwards. If the VM
+ * acknowledged the job before the platform stored it, the job would be lost
+ * without any error.
  */
 TEST(BatchFailure, AcknowledgedJobOutlivesItsVm)
 {
@@ -55,10 +55,10 @@
 }
 
 /*
- * A client hears nothing and submits its job again: to another VM at the
- * same time, after the job's end, and once with other content under the same
- * key. A second job would bill each narrative twice; a silent replacement
- * would lose the first.
+ * A client gets no answer and submits its job again: to another VM at the
+ * same time, after the job's end, and with other content under the same key.
+ * A second job would bill each item twice; silently replacing the first job
+ * would lose it.
  */
 TEST(BatchFailure, ResentJobIsOneJob)
 {
@@ -86,7 +86,7 @@
 	EXPECT_EQ(fleet.streams_started(), 40);
 }
 
-/* Guards against a VM that uses an upload after its answer freed it. */
+/* Guards against a use-after-free of an upload once its answer is sent. */
 TEST(BatchFailure, UploadsSideBySideAreAllAnswered)
 {
 	fleet_options_t options;
@@ -108,7 +108,7 @@
 	EXPECT_TRUE(vm.process->is_alive());
 }
 
-/* The VM's log has this event of its neighbour. */
+/* Whether the VM's log has this event about the given neighbour. */
 bool
 has_event(const vm_t &vm, const std::string &event, const vm_t &peer)
 {
@@ -123,12 +123,13 @@
 	return false;
 }
 
-/* Guards against items run twice by VMs that called each other silent. */
+/* Guards against items run twice by two VMs each of which treats the other as
+ * unreachable. */
 TEST(BatchFailure, VmsOutOfTouchRunEachItemOnce)
 {
 	static const struct {
 		const char *name;
-		bool before; /* the job is submitted while they are cut off */
+		bool before; /* they are disconnected before the job */
 	} cases[] = {{"before the job", true}, {"while items run", false}};
 
 	for (const auto &row : cases) {
@@ -148,7 +149,7 @@
 		wait_started(fleet, 2);
 		if (!row.before)
 			fleet.cut(one, other, true);
-		wait_until("each calls the other silent", [&] {
+		wait_until("each treats the other as unreachable", [&] {
 			return has_event(one, "vm_silent", other) &&
 			    has_event(other, "vm_silent", one);
 		});
@@ -160,9 +161,10 @@
 }
 
 /*
- * The platform stores what it is sent, but its answers are lost: of the
- * upload, the submission, the claims and the results. Each retry meets its
- * own write. Taken for another's, it would refuse the job or lose a chunk.
+ * The platform stores writes, but its answers are lost: to the upload, the
+ * submission, the claims and the results. Each retry conflicts with the VM's
+ * own earlier write. If the VM mistook that for another VM's write, it would
+ * refuse the job or lose a chunk.
  */
 TEST(BatchFailure, LostAnswersOfWritesAreKnownForOnesOwn)
 {
@@ -193,10 +195,10 @@
 }
 
 /*
- * A worker is frozen in the middle of its chunks for longer than its leases;
- * others take the chunks over and complete them. The first one wakes, still
- * believes in its leases and goes on. Without the conditional write it would
- * overwrite results that an auditor has read.
+ * A worker VM is paused while it processes chunks, for longer than its leases;
+ * other VMs take the chunks over and complete them. The first VM is resumed,
+ * assumes that its leases are still valid and continues. Without conditional
+ * writes it would overwrite results that may have been read already.
  */
 TEST(BatchFailure, FrozenWorkerNeverOverwrites)
 {
@@ -215,7 +217,7 @@
 	std::string before = fleet.vm(1, 0).results(id).body;
 	for (int number : {0, 1})
 		fleet.vm(0, number).process->thaw();
-	wait_until("the woken VMs see the job's end", [&] {
+	wait_until("the resumed VMs report the job as completed", [&] {
 		return fleet.vm(0, 0).job(id).text("status") == "completed" &&
 		    fleet.vm(0, 1).job(id).text("status") == "completed";
 	});
@@ -225,9 +227,9 @@
 }
 
 /*
- * A VM dies with items in flight, the one that takes its chunks over dies
- * too, and the platform is out while it happens. An item lost with them would
- * never be billed.
+ * A VM fails with items in flight, the VM that takes its chunks over fails
+ * too, and the platform is unavailable at the time of the first failure. An
+ * item lost that way would never be billed.
  */
 TEST(BatchFailure, TwoDeathsDuringAnOutageLoseNoItem)
 {
@@ -253,9 +255,9 @@
 }
 
 /*
- * One line of a job is refused by each engine for good, and one is never
- * answered. Without an end of their own they would hold the whole month's
- * close up; the others must not wait, and both failures must be on record.
+ * One item of a job is refused permanently by each engine, and one is never
+ * answered. Without a limit on attempts the job would never end. The other
+ * items must not be delayed, and both failures must be in the results.
  */
 TEST(BatchFailure, ItemThatCannotCompleteEndsWithAFailure)
 {
@@ -290,9 +292,9 @@
 }
 
 /*
- * An auditor reads results while the job runs, after it, while the platform
- * is slow, and after every VM was replaced. Results that lived in a VM would
- * be gone with it.
+ * Results are read while the job runs, after its end, while the platform is
+ * slow, and after every VM was replaced. Results kept only in a VM's memory
+ * would be lost with the VM.
  */
 TEST(BatchFailure, ResultsOutliveAllVms)
 {
@@ -319,10 +321,10 @@
 }
 
 /*
- * The platform is out for longer than the leases while a job runs, once
- * refusing and once silent. New jobs cannot be promised and are refused at
- * once with a time to come back; the running one ends after the outage, with
- * one result an item.
+ * The platform is unavailable for longer than the leases while a job runs; it
+ * refuses requests or does not answer them. New jobs can't be stored and are
+ * refused immediately with a Retry-After header. The running job completes
+ * after the outage, with one result per item.
  */
 TEST(BatchFailure, OutageNeverDoublesResults)
 {
@@ -346,8 +348,8 @@
 		EXPECT_EQ(refused.status, 503) << refused.body;
 		EXPECT_NE(refused.header("Retry-After"), "");
 		long lapsed = now_ms() + 2500;
-		wait_until(
-		    "the leases lapse", [lapsed] { return now_ms() > lapsed; });
+		wait_until("the leases expire",
+		    [lapsed] { return now_ms() > lapsed; });
 		fleet.platform.fault("{\"outage\":\"none\"}");
 		fleet.wait_job(fleet.vm(1, 1), id);
 		expect_results(fleet.vm(1, 1).results(id), prompts, 6);
@@ -355,8 +357,9 @@
 	}
 }
 
-/* Engines admit at their next step what reached them before the cancel; after
- * that no stream starts for a second and a half. How many had started. */
+/* Engines still admit at their next step the requests that reached them before
+ * the cancel. Waits until no stream has started for 1.5 s; returns how many
+ * were started in all. */
 long
 wait_stopped(const fleet_t &fleet)
 {
@@ -364,7 +367,7 @@
 	long started = fleet.streams_started();
 	long since = now_ms();
 
-	wait_until("no item starts any more", [&] {
+	wait_until("no further item starts", [&] {
 		long now_started = fleet.streams_started();
 		if (now_started != started)
 			since = now_ms();
@@ -377,7 +380,7 @@
 	return started;
 }
 
-/* No engine has seen an item that is said not to have been run. */
+/* No engine has a record of an item that is reported as not run. */
 void
 expect_not_run(
     const fleet_t &fleet, const std::map<std::string, std::string> &results)
@@ -397,9 +400,9 @@
 
 /*
  * An operator cancels a job at another VM than it was submitted to, while
- * its items run, once with a worker frozen and once during an outage that
- * refuses the first try. The job must stop: no item may start once the
- * cancel is in force, and what was done stays readable.
+ * its items run: without a further fault, with a worker paused, and during an
+ * outage in which the first attempt is refused. No item may start once the
+ * cancellation is in force, and results written before stay readable.
  */
 TEST(BatchFailure, CancelledJobStops)
 {
--- a/tests/system/beside_failure_test.cc
+++ b/tests/system/beside_failure_test.cc
@@ -1,5 +1,5 @@
 /*
- * Batch data beside online requests in one process.
+ * Batch uploads and online requests at the same time in one VM.
  */
 #include "tests/system/harness.h"
 
@@ -8,7 +8,7 @@
 namespace
 {
 
-/* Lines of a batch file, a few megabytes in all. */
+/* A batch file with this many lines of about 500 bytes. */
 std::string
 make_file(int lines)
 {
@@ -23,9 +23,9 @@
 }
 
 /*
- * At the month's close a clerk uploads the whole file through the VM that the
- * associates use. The platform does not take its parts; the associates' calls
- * stand behind it for as long as it lasts.
+ * A large batch file is uploaded through a VM that also serves online
+ * requests, and the platform does not accept its parts. Guards against online
+ * requests that are blocked until the upload ends.
  */
 TEST(BesideFailure, UploadLeavesRoomForOnlineRequests)
 {
@@ -48,7 +48,7 @@
 	}
 	EXPECT_EQ(upload.wait_for(std::chrono::seconds(0)),
 	    std::future_status::timeout)
-	    << "the upload was over before: nothing was beside it";
+	    << "the upload ended before the online requests did";
 	fleet.platform.fault("{\"outage\":\"none\"}");
 	reply_t reply = upload.get();
 	EXPECT_EQ(reply.status, 200) << reply.body;
