--- a/tests/system/beside_failure_test.cc
+++ b/tests/system/beside_failure_test.cc
@@ -8,7 +8,7 @@
 namespace
 {
 
-/* A batch file with this many lines of about 500 bytes. */
+/* A batch file with this many lines, a few megabytes in all. */
 std::string
 make_file(int lines)
 {
--- a/tests/system/config_failure_test.cc
+++ b/tests/system/config_failure_test.cc
@@ -1,7 +1,7 @@
 /*
  * Failures around the configuration: operators never overwrite each other,
- * an accepted version is in force everywhere within seconds, and no VM ever
- * goes back.
+ * an accepted version is in force at all VMs within seconds, and no VM ever
+ * reverts to an older version.
  */
 #include "tests/system/harness.h"
 
@@ -28,9 +28,10 @@
 }
 
 /*
- * Two operators have read the same version and patch it at two VMs at once.
- * One must be told the current version; had both been applied, the first
- * one's change would be gone and nobody would know.
+ * Several operators have read the same version and patch it at different VMs
+ * at the same time. One patch is applied; the others must be refused with the
+ * current version. If two were applied, the second would silently overwrite
+ * the first.
  */
 TEST(ConfigFailure, TwoOperatorsNeverOverwriteEachOther)
 {
@@ -65,15 +66,15 @@
 }
 
 /*
- * A patch is applied, but its answers are lost, and the operator sends it
- * again, through another VM too. Applied twice, or told as a conflict with
- * itself, it would make the operator undo what is in force.
+ * A patch is applied, but its answers are lost, and the operator resends it,
+ * also through other VMs. If it were applied twice, or refused as a conflict
+ * with itself, the operator might revert a change that is in force.
  */
 TEST(ConfigFailure, ResentPatchIsAppliedOnce)
 {
 	static const struct {
 		const char *name;
-		int lost; /* answers of the platform */
+		int lost; /* number of lost platform answers */
 	} cases[] = {{"resent", 0}, {"one lost", 1}, {"three lost", 3}};
 	fleet_t fleet(config_options());
 
@@ -98,9 +99,8 @@
 }
 
 /*
- * An operator mistypes a field. The answer must name the field, the value and
- * the bound, and nothing may change: half of a patch in force is worse than
- * none.
+ * An operator sends an invalid patch. The error must name the field, the value
+ * and the bound, and no part of the patch may be applied.
  */
 TEST(ConfigFailure, InvalidPatchNamesItsFaultAndChangesNothing)
 {
@@ -139,9 +139,10 @@
 }
 
 /*
- * A VM is frozen while patches are accepted, or cut off from the platform,
- * and comes back with its old belief. Serving by an old version again would
- * undo a change that the operator was told is in force.
+ * A VM is paused while patches are accepted, in some rounds with gaps in the
+ * platform's watch, and resumes with an outdated version. Reverting to an
+ * older version would undo a change that was reported to the operator as in
+ * force.
  */
 TEST(ConfigFailure, NoVmEverGoesBack)
 {
@@ -159,7 +160,8 @@
 				long version =
 				    atol(reply.header("ETag").c_str() + 1);
 				EXPECT_GE(version, newest[i])
-				    << fleet.vms[i]->name << " went back";
+				    << fleet.vms[i]->name
+				    << " reverted to an older version";
 				newest[i] = version;
 			}
 		}
@@ -188,10 +190,9 @@
 }
 
 /*
- * A VM that was replaced reads the configuration, and the platform's answer
- * takes its time; meanwhile patches are accepted and reach the VM through
- * its neighbours. Taken for the newest, the late answer would undo them
- * there.
+ * A VM that was replaced reads the configuration, and the platform answers
+ * late. Meanwhile patches are accepted and reach the VM through its
+ * neighbours. If the VM adopted the late answer, it would revert them.
  */
 TEST(ConfigFailure, LateReadNeverTakesAVmBack)
 {
@@ -218,13 +219,14 @@
 	    "the VM has the newest", [&] { return slow.version() == version; });
 	EXPECT_LT(now_ms(), due) << "the answer was not late";
 	while (now_ms() < due)
-		ASSERT_EQ(slow.version(), version) << "it went back";
+		ASSERT_EQ(slow.version(), version)
+		    << "the VM reverted to an older version";
 }
 
 /*
- * A VM starts, or is replaced, while the platform is out. Without a
- * neighbour's word it could serve nobody until the outage ends; and what it
- * learns must be the newest, also from a neighbour that is behind.
+ * A VM starts or is replaced while the platform is unavailable. Unless it gets
+ * the configuration from its neighbours, it can't serve until the outage ends.
+ * It must get the newest version, even if one neighbour is behind.
  */
 TEST(ConfigFailure, VmStartedInAnOutageLearnsFromItsNeighbours)
 {
@@ -251,9 +253,9 @@
 }
 
 /*
- * An operator is told that a change is in force; some VMs are cut off from
- * the platform at that time. As long as one neighbour has it, they must have
- * it within three seconds. The time is measured at the last VM.
+ * A change is accepted while some VMs are disconnected from the platform. As
+ * long as one neighbour has the change, these VMs must have it within three
+ * seconds. The time is measured at the last VM.
  */
 TEST(ConfigFailure, InForceEverywhereAlsoBehindACut)
 {
--- a/tests/system/cut_failure_test.cc
+++ b/tests/system/cut_failure_test.cc
@@ -1,6 +1,7 @@
 /*
- * A failure domain is cut off and goes on serving what it can; the table
- * says what that is for each cut. Afterwards all is as if nothing had been.
+ * Network partitions of a failure domain: from the other domain, from the
+ * platform, or from both. Both sides keep serving what they can, and once the
+ * partition ends, everything is served again.
  */
 #include "tests/system/harness.h"
 
@@ -11,8 +12,8 @@
 
 struct cut_row_t {
 	const char *name;
-	bool others; /* the domain is cut off from the other one */
-	bool platform; /* and from the platform */
+	bool others; /* disconnects the domain from the other one */
+	bool platform; /* disconnects it from the platform */
 };
 
 const cut_row_t ROWS[] = {
@@ -36,7 +37,7 @@
 	return options;
 }
 
-/* Bookings under new keys at a VM: how many were served. */
+/* Sends 16 bookings under new keys to a VM; returns how many were served. */
 int
 book_many(const fleet_t &fleet, const vm_t &vm, const std::string &name)
 {
@@ -56,7 +57,7 @@
 	return served;
 }
 
-/* Every VM serves everything. */
+/* Waits until every VM serves all of its bookings. */
 void
 wait_whole(const fleet_t &fleet, const std::string &name)
 {
@@ -70,7 +71,8 @@
 	}
 }
 
-/* Online requests of a model are served on both sides of each cut. */
+/* Checks that all VMs, on both sides of a partition, serve online requests of
+ * a model. */
 void
 expect_online(const fleet_t &fleet, const std::string &name)
 {
@@ -83,8 +85,8 @@
 	}
 }
 
-/* New jobs and patches need the platform, whichever side asks; the version
- * after the patch. */
+/* Checks that a VM accepts new jobs and patches exactly if it reaches the
+ * platform. Returns the version after the patch. */
 long
 expect_durable(const vm_t &vm, const std::string &file, long version,
     bool platform, const std::string &name)
@@ -102,9 +104,9 @@
 }
 
 /*
- * The line to one hall is dug up: shops there still order, drivers elsewhere
- * too. A hall that stops serving strands its lorries; one that serves what
- * it cannot keep books twice or loses jobs.
+ * One domain is partitioned while callers on both sides send requests. Guards
+ * against a side that stops serving what it still can, and against one that
+ * accepts what it can't store, which would run bookings twice or lose jobs.
  */
 TEST(CutFailure, EachSideServesWhatItCan)
 {
@@ -123,7 +125,7 @@
 			fleet.cut_platform_from_domain(0);
 		expect_online(fleet, name);
 		for (const std::unique_ptr<vm_t> &vm : fleet.vms) {
-			/* The keys of the own domain at the least. */
+			/* At least the keys homed in the VM's domain. */
 			EXPECT_GT(book_many(fleet, *vm, name), 0) << vm->name;
 		}
 		version = expect_durable(
--- a/tests/system/dead_failure_test.cc
+++ b/tests/system/dead_failure_test.cc
@@ -1,5 +1,6 @@
 /*
- * Backend servers that are dead when a request comes: nobody is to blame.
+ * Backend servers that are down before a request arrives: the request must not
+ * be counted as the cause.
  */
 #include "tests/system/harness.h"
 
@@ -18,9 +19,9 @@
 };
 
 /*
- * An associate's healthy request is refused for an hour as one that crashes
- * servers. Engines had died before it came; it only found them dead, one
- * refused connection after the other, and was blamed for each death.
+ * Engines fail before a healthy request arrives, and its attempts meet one
+ * refused connection after the other. Guards against counting each of these as
+ * a crash caused by the request, which would quarantine it for an hour.
  */
 TEST_P(DeadFailure, RequestThatFindsServersDeadIsNotBlamed)
 {
--- a/tests/system/harness.cc
+++ b/tests/system/harness.cc
@@ -1,5 +1,5 @@
 /*
- * Starts, steers and ends the processes of the failure tests.
+ * Starts, controls and stops the processes of the failure tests.
  */
 #include <fcntl.h>
 #include <poll.h>
@@ -34,10 +34,11 @@
 constexpr size_t LOG_TAIL = 4000;
 constexpr size_t WRITES_TAIL = 60;
 
-/* The children alive, for the handler of a crash of the tests. */
+/* Pids of running child processes, killed by the signal handler. */
 std::atomic<pid_t> children[CHILDREN_MAX];
 
-/* Children would outlive a test that crashes or is stopped. */
+/* Signal handler: without it, child processes would outlive a test program that
+ * crashes or is stopped. */
 void
 end_children(int number)
 {
@@ -317,7 +318,8 @@
 	return size * count;
 }
 
-/* A wide window would hide for long that nobody reads. */
+/* With a large receive buffer, the sender would not notice for a long time that
+ * the caller doesn't read. */
 int
 stream_t::narrow(void *, curl_socket_t fd, curlsocktype)
 {
@@ -341,7 +343,7 @@
 	    .count();
 }
 
-/* How many times longer to wait: instrumented programs run slowly. */
+/* Factor applied to time limits, since instrumented programs run slowly. */
 static long
 patience()
 {
@@ -358,7 +360,8 @@
 
 	while (!holds()) {
 		if (now_ms() >= until) {
-			ADD_FAILURE() << "never seen: " << what;
+			ADD_FAILURE()
+			    << "not reached within the time limit: " << what;
 			return false;
 		}
 		poll(nullptr, 0, POLL_MS);
@@ -632,7 +635,7 @@
 		    << describe_seeds(vm->domain);
 		vm->process->start();
 	}
-	wait_until("the first configuration is taken", [this] {
+	wait_until("the first configuration is accepted", [this] {
 		return vms[0]->patch(0, describe_config()).status == 200 ||
 		    vms[0]->version() > 0;
 	});
@@ -743,22 +746,24 @@
 	}
 }
 
-/* VMs that have not heard of each other share nothing yet. */
+/* Until VMs have received each other's heartbeats, they share no state. */
 void
 fleet_t::wait_acquainted() const
 {
 	for (const std::unique_ptr<vm_t> &vm : vms) {
-		wait_until(vm->name + " knows its domain's VMs", [this, &vm] {
-			json_view_t status(
-			    call("GET", vm->operators + "/v1/status").body);
-			int live = 1;
-			for (size_t i = 0; i < status.size("vms"); i++) {
-				std::string at = "vms." + std::to_string(i);
-				live += status.is_true(at + ".live") &&
-				    status.text(at + ".domain") == vm->domain;
-			}
-			return live == options.vms;
-		});
+		wait_until(vm->name + " sees all VMs of its domain as live",
+		    [this, &vm] {
+			    json_view_t status(
+				call("GET", vm->operators + "/v1/status").body);
+			    int live = 1;
+			    for (size_t i = 0; i < status.size("vms"); i++) {
+				    std::string at = "vms." + std::to_string(i);
+				    live += status.is_true(at + ".live") &&
+					status.text(at + ".domain") ==
+					    vm->domain;
+			    }
+			    return live == options.vms;
+		    });
 	}
 }
 
@@ -874,7 +879,8 @@
 	vms.push_back(std::move(vm));
 }
 
-/* What a VM can know without the platform, as in the examples. */
+/* Static neighbours and backend servers, which a VM can use without the
+ * platform; as in the examples. */
 std::string
 fleet_t::describe_seeds(const std::string &domain) const
 {
@@ -898,7 +904,7 @@
 	return text;
 }
 
-/* The last writes the platform has taken, one a line. */
+/* The last writes that the platform accepted, one per line. */
 std::string
 fleet_t::describe_writes() const
 {
--- a/tests/system/harness.h
+++ b/tests/system/harness.h
@@ -1,7 +1,7 @@
 /*
- * Real processes for the failure tests: a platform, backend servers and VMs
- * over failure domains, each on a loopback port of its own, with what brings
- * failures about: kill, freeze, thaw, restart, cuts.
+ * Process harness of the failure tests: starts a stand-in platform, stand-in
+ * backend servers and VMs in several failure domains, each on its own loopback
+ * ports, and injects failures: kill, pause, resume, restart, partitions.
  */
 #ifndef TESTS_SYSTEM_HARNESS_H
 #define TESTS_SYSTEM_HARNESS_H
@@ -27,12 +27,12 @@
 namespace harness
 {
 
-/* Generous: only a hang reaches it. */
+/* Long enough that only a hang exceeds it. */
 constexpr long LIMIT_MS = 30000;
 
 using strings_t = std::vector<std::string>;
 
-/* A JSON text, read by paths such as "request_counts.total" or "0.run". */
+/* A parsed JSON text, read by paths such as "request_counts.total" or "0.run". */
 class json_view_t
 {
       public:
@@ -69,21 +69,22 @@
     const std::string &url, const std::string &body = "",
     const strings_t &headers = {}, long timeout_ms = LIMIT_MS);
 
-/* A request whose answer is read while it comes. */
+/* A request whose answer is received incrementally in a thread. */
 class stream_t
 {
       public:
 	stream_t(const std::string &url, const std::string &body,
 	    const strings_t &headers = {});
-	/* Hangs up when the answer has not ended. */
+	/* Closes the connection if the answer has not ended. */
 	~stream_t();
 	stream_t(const stream_t &) = delete;
 	std::string seen() const;
-	/* Reads nothing more until told to, as a slow caller does. */
+	/* While paused, reads nothing from the connection, like a slow
+	 * caller. */
 	void pause(bool paused);
 	void hang_up();
 	bool ended() const;
-	/* Waits for the end of the answer. */
+	/* Waits until the answer has ended. */
 	const reply_t &finish();
 
       private:
@@ -103,13 +104,14 @@
 	static int look(void *, curl_off_t, curl_off_t, curl_off_t, curl_off_t);
 };
 
-/* Polls a condition; false, and a failure of the test, at the limit. */
+/* Polls a condition. When the time limit expires, fails the test and returns
+ * false. */
 bool wait_until(const std::string &what, const std::function<bool()> &holds,
     long limit_ms = LIMIT_MS);
-/* Milliseconds of a monotonic clock, for printed figures only. */
+/* Milliseconds of a monotonic clock. */
 long now_ms();
 
-/* A process that is killed with the object at the latest. */
+/* A child process; the destructor kills it if it still runs. */
 class process_t
 {
       public:
@@ -121,7 +123,8 @@
 	void freeze();
 	void thaw();
 	void terminate();
-	/* Waits for the end; the exit status, or -1 after a signal. */
+	/* Waits until the process exits; returns the exit status, or -1 after
+	 * a signal. */
 	int wait_exit();
 	bool is_alive();
 	std::string log_text() const;
@@ -138,7 +141,7 @@
 	void signal(int number);
 };
 
-/* A stand-in of the platform or of a backend server. */
+/* A stand-in process for the platform or a backend server. */
 struct standin_t {
 	std::string name;
 	std::string domain;
@@ -150,7 +153,7 @@
 	void start();
 	void fault(const std::string &json) const;
 	reply_t ask(const std::string &path) const;
-	/* A number of /control/counts. */
+	/* A number in the answer of /control/counts. */
 	long count(const std::string &path) const;
 };
 
@@ -170,7 +173,7 @@
 	    const strings_t &headers = {}) const;
 	std::future<reply_t> complete_later(const std::string &prompt,
 	    int tokens, const strings_t &headers = {}) const;
-	/* A call of the plain service under a key. */
+	/* Calls the plain service under an idempotency key. */
 	reply_t book(const std::string &key, const std::string &body = "{}",
 	    long timeout_ms = LIMIT_MS) const;
 	std::future<reply_t> book_later(
@@ -190,13 +193,14 @@
 	strings_t engine_options = {};
 	std::string settings = {}; /* tables added to each VM's settings */
 	std::string narrador = {}; /* fields added to the model's service */
-	std::string pallets = {}; /* to the plain service */
+	std::string pallets = {}; /* fields added to the plain service */
 };
 
-/* A fleet in service: started, configured, and ended with the object. */
+/* A fleet: the constructor starts and configures it and waits until it serves,
+ * the destructor stops it. */
 class fleet_t
 {
-	ports_t ports; /* before the processes that listen there */
+	ports_t ports; /* declared before the processes that use them */
 
       public:
 	standin_t platform;
@@ -207,21 +211,23 @@
 	explicit fleet_t(const fleet_options_t &options);
 	~fleet_t();
 	fleet_t(const fleet_t &) = delete;
-	/* VM number of a domain's number; both from 0. */
+	/* A VM by the indices of its domain and within the domain, from 0. */
 	vm_t &vm(int domain, int number) const;
-	/* Kills and starts it anew, with no memory and the same address. */
+	/* Kills and restarts a VM: its memory is lost, its address stays. */
 	void replace(vm_t &vm);
-	/* Cuts two VMs off from each other, or mends the cut. */
+	/* Disconnects two VMs from each other, or reconnects them. */
 	void cut(const vm_t &one, const vm_t &other, bool cut) const;
-	/* Cuts a domain off from all the others. */
+	/* Disconnects a domain from all others, or reconnects it. */
 	void cut_domain(int domain, bool cut) const;
-	/* Those VMs get no answer of the platform; empty mends it. */
+	/* Disconnects exactly these VMs from the platform; an empty list
+	 * reconnects all. */
 	void cut_platform(const std::vector<const vm_t *> &cut) const;
 	void cut_platform_from_domain(int domain) const;
 	/* The platform lists these VMs as leaving, all others as live. */
 	void list_leaving(const strings_t &names) const;
 	void wait_ready() const;
-	/* Waits for the job's end at this VM; its last status. */
+	/* Waits until the VM reports the job with this status; returns the
+	 * last answer. */
 	reply_t wait_job(const vm_t &vm, const std::string &id,
 	    const std::string &status = "completed") const;
 	long streams_started() const;
@@ -243,17 +249,19 @@
 	std::string describe_config() const;
 };
 
-/* The text that a prompt has to bring about. */
+/* The text expected for a prompt. */
 std::string text_of(const std::string &prompt, int tokens);
-/* Whether an answer is the whole one of its own prompt. */
+/* Whether a reply is the complete answer to this prompt. */
 bool is_answer_to(const reply_t &reply, const std::string &prompt, int tokens);
 strings_t make_prompts(const std::string &name, int count);
-/* Each prompt's item is there once, with its own answer; see upload(). */
+/* Checks that the results hold each prompt's item once, with the answer to that
+ * prompt; see upload(). */
 void
 expect_results(const reply_t &results, const strings_t &prompts, int tokens);
-/* The results by custom_id; more than one of an item fails the test. */
+/* The results by custom_id; two results of one item fail the test. */
 std::map<std::string, std::string> read_results(const reply_t &results);
-/* No out object of the job was written twice; how many there are. */
+/* Checks that no output object of the job was written twice; returns how many
+ * there are. */
 size_t expect_written_once(const standin_t &platform, const std::string &id);
 
 } // namespace harness
--- a/tests/system/leave_failure_test.cc
+++ b/tests/system/leave_failure_test.cc
@@ -1,6 +1,6 @@
 /*
- * What leaves, leaves without harm: a backend server gets no new work, and a
- * VM's planned stop cuts off no request in progress.
+ * Planned stops: a leaving backend server gets no new requests, and the
+ * graceful stop of a VM interrupts no request in progress.
  */
 #include "tests/system/harness.h"
 
@@ -9,7 +9,7 @@
 namespace
 {
 
-/* Whether a VM would still give a server work. */
+/* Whether a VM would still send new requests to a server. */
 bool
 takes_work(const vm_t &vm, const std::string &server)
 {
@@ -24,15 +24,15 @@
 }
 
 /*
- * An engine leaves for its replacement. The platform's list is late, or the
- * engine itself says nothing and only the list knows. Orders sent to it
- * after that would be cut off with it at the end.
+ * An engine is about to be replaced. Either it refuses requests as leaving
+ * before the platform's list shows that, or only the list shows it. Requests
+ * sent to it afterwards would be lost when it stops.
  */
 TEST(LeaveFailure, LeavingServerGetsNoNewWork)
 {
 	static const struct {
 		const char *name;
-		bool refuses; /* else the platform's list says it */
+		bool refuses; /* else the platform lists it as leaving */
 	} cases[] = {{"by its own refusals", true}, {"by the list", false}};
 
 	for (const auto &row : cases) {
@@ -61,7 +61,7 @@
 		long told = now_ms();
 		serve("meanwhile ");
 		for (const std::unique_ptr<vm_t> &vm : fleet.vms)
-			wait_until(vm->name + " gives it no more work",
+			wait_until(vm->name + " sends it no new requests",
 			    [&] { return !takes_work(*vm, engine.name); });
 		printf("%s: no new work after %ld ms\n", row.name,
 		    now_ms() - told);
@@ -71,7 +71,7 @@
 	}
 }
 
-/* What is in progress at a VM when it is stopped. */
+/* The requests in progress at a VM when it is stopped. */
 struct load_t {
 	std::map<std::string, std::future<reply_t>> whole;
 	std::vector<std::unique_ptr<stream_t>> streams;
@@ -102,7 +102,8 @@
 	    [&fleet] { return fleet.has_run("in-progress"); });
 }
 
-/* All that was in progress ends whole; returns the booking's answer. */
+/* Checks that all requests in progress get complete answers; returns the answer
+ * to the booking. */
 reply_t
 expect_whole(load_t &load)
 {
@@ -121,7 +122,8 @@
 	return booked;
 }
 
-/* A request that comes too late is turned away by an honest word. */
+/* A request that arrives after the stop began is either served or refused as
+ * not run, with a Retry-After header. */
 void
 expect_turned_away(const vm_t &vm)
 {
@@ -137,16 +139,16 @@
 }
 
 /*
- * A VM is stopped for its replacement in the middle of the night's load:
- * streams and whole answers in progress, a booking at its server, chunks of
- * a job. Each must end as if nothing had happened, new requests must be
- * turned away with an honest word, and the stop must end.
+ * A VM is stopped for its replacement under load: streams and unstreamed
+ * answers in progress, a booking at its server, chunks of a job. All of them
+ * must complete, new requests must be refused as not run, and the process must
+ * exit.
  */
 TEST(LeaveFailure, PlannedStopCutsNoRequestOff)
 {
 	static const struct {
 		const char *name;
-		bool drained; /* by an operator's call, else by SIGTERM */
+		bool drained; /* by an operator's request, else by SIGTERM */
 	} cases[] = {{"SIGTERM", false}, {"drain", true}};
 
 	for (const auto &row : cases) {
@@ -174,7 +176,7 @@
 		    std::string::npos);
 		fleet.services[0].fault("{\"delay_ms\":0}");
 		reply_t again;
-		wait_until("the booking is known elsewhere", [&] {
+		wait_until("the other VM has the booking's answer", [&] {
 			again = fleet.vm(0, 1).book("in-progress");
 			return again.status == 200;
 		});
--- a/tests/system/once_failure_test.cc
+++ b/tests/system/once_failure_test.cc
@@ -1,6 +1,6 @@
 /*
- * Failures of calls that may not be repeated: each runs at most once, and
- * nobody is told "not run" of a call that ran.
+ * Failures of non-idempotent calls: each runs at most once, and a call that
+ * ran is never reported as "not run".
  */
 #include <algorithm>
 
@@ -27,10 +27,10 @@
 	return options;
 }
 
-/* Slots of a domain's ledger: JJ_LEDGER_SLOTS. */
+/* Key slots of a domain's ledger: JJ_LEDGER_SLOTS. */
 constexpr size_t SLOTS = 64;
 
-/* Slots that this VM holds as their home, with a witness that is synced. */
+/* Key slots that have this VM as their home and a synced witness. */
 size_t
 count_acting(const vm_t &vm)
 {
@@ -47,8 +47,9 @@
 }
 
 /*
- * Each slot of the ledger has its home, and new keys run at each VM. Keys
- * alone would not show the first: of 64 slots 72 keys miss a third.
+ * Waits until each key slot of the ledger has a home and each VM runs calls
+ * under new keys. Calls alone would not show the former: 72 random keys miss a
+ * third of the 64 slots.
  */
 bool
 wait_settled(const fleet_t &fleet)
@@ -94,7 +95,7 @@
 	return runs;
 }
 
-/* The VM that sent a key's call to its server; null: nobody did. */
+/* The VM that sent a key's call to its server; null: none did. */
 vm_t *
 find_sender(const fleet_t &fleet, const std::string &key)
 {
@@ -121,7 +122,7 @@
 		service.fault(json);
 }
 
-/* Only a call without a run may be called "not run". */
+/* Checks that only a call that did not run is reported as "not run". */
 void
 expect_honest(
     const fleet_t &fleet, const std::string &key, const reply_t &reply)
@@ -138,8 +139,8 @@
 
 /*
  * A booking reaches its server and runs there, but the answer is a 503, a
- * broken connection, or nothing until the timeout. A second try, by this VM
- * or another, books the pallets twice; "not run" makes the shop try itself.
+ * broken connection, or missing until the timeout. A retry by this VM or
+ * another would book twice; reporting "not run" would make the caller retry.
  */
 TEST(OnceFailure, UncertainCallIsNeverSentAgain)
 {
@@ -147,8 +148,8 @@
 	    "run_then_503", "run_then_break", "run_then_hang"};
 	fleet_t fleet(once_options(1, 2));
 
-	/* Warms the connections too: libcurl resends on a reused one that
-	 * breaks before the first byte of the answer. */
+	/* Also opens the connections: libcurl resends a request by itself when
+	 * a reused connection breaks before the first byte of the answer. */
 	ASSERT_TRUE(wait_settled(fleet));
 	for (const char *fault : faults) {
 		SCOPED_TRACE(fault);
@@ -175,8 +176,8 @@
 }
 
 /*
- * The first use of a connection breaks after the run, as above, but with
- * VMs that were just started and hold no connection yet.
+ * As above, but the connection that breaks after the run is a new one: the VMs
+ * were just started and have no open connections.
  */
 TEST(OnceFailure, BreakOnAFreshConnectionIsNotSentAgain)
 {
@@ -195,8 +196,9 @@
 }
 
 /*
- * A shop resends a booking whose confirmation is long. The answer was too
- * large to be kept, and an empty one would be taken for the whole.
+ * A caller resends a booking whose answer was too large to be stored. An empty
+ * answer would be taken for the complete one, so the VM must report that the
+ * call ran but its answer was not kept.
  */
 TEST(OnceFailure, AnswerThatWasNotKeptIsSaidToBe)
 {
@@ -221,9 +223,10 @@
 }
 
 /*
- * The VM that sent a booking is lost before the answer comes back; the shop
- * sends it again through the others, at once and after they have taken the
- * dead VM's keys over. Who sent it is gone, but not that it was sent.
+ * The VM that sent a booking to its server fails before it gets the answer.
+ * The caller resends it through the other VMs, immediately and after they have
+ * taken the failed VM's keys over. The record that it was sent must survive
+ * the sender.
  */
 TEST(OnceFailure, VmLostAfterSendingLeavesOutcomeUnknown)
 {
@@ -247,7 +250,7 @@
 			continue;
 		expect_honest(fleet, key, vm->book(key));
 		reply_t reply;
-		wait_until("a final word on the call", [&] {
+		wait_until("the outcome is reported as unknown", [&] {
 			reply = vm->book(key);
 			return reply.text("code") == "outcome_unknown";
 		});
@@ -260,9 +263,9 @@
 }
 
 /*
- * An impatient shop sends one booking to VMs of two failure domains at once.
- * One runs it; the others must wait, replay its answer, or say that it is in
- * progress, and none may run it again.
+ * A caller sends one booking to VMs of two failure domains at the same time.
+ * One runs it; the others must wait, replay its answer, or report that it is
+ * in progress, and none may run it again.
  */
 TEST(OnceFailure, SameKeyAtAllVmsRunsOnce)
 {
@@ -295,9 +298,9 @@
 }
 
 /*
- * Bookings are sent while VMs cannot see each other, the platform, or both,
- * and sent again everywhere once they can. A side that thinks the other is
- * dead and runs its keys anew books twice.
+ * Bookings are sent while VMs can't reach each other, the platform, or both,
+ * and are resent at all VMs during the partition and after it. A side that
+ * treats the other as failed and runs the same keys again would book twice.
  */
 TEST(OnceFailure, CutsNeverRunACallTwice)
 {
@@ -362,9 +365,9 @@
 }
 
 /*
- * A VM that has run bookings is killed or frozen, and others take its keys
- * over; then it comes back, with an empty memory or with its old belief. A
- * key that one side has forgotten must not run there.
+ * A VM that has run bookings is killed or paused, and others take its keys
+ * over. Then it restarts with empty memory, or resumes with outdated state. It
+ * must not run a key again that it no longer has in memory.
  */
 TEST(OnceFailure, TakenOverKeysAreRemembered)
 {
@@ -390,17 +393,19 @@
 			gone.process->kill();
 		for (const auto &run : runs) {
 			reply_t reply;
-			wait_until(run.first + " is known", [&] {
-				reply = fleet.vm(0, 1).book(run.first);
-				return reply.status == 200;
-			});
+			wait_until(
+			    run.first + " is answered from the ledger", [&] {
+				    reply = fleet.vm(0, 1).book(run.first);
+				    return reply.status == 200;
+			    });
 			EXPECT_EQ(reply.number("run"), run.second);
 		}
 		if (row.frozen)
 			gone.process->thaw();
 		else
 			gone.process->start();
-		wait_until("it is back", [&] { return gone.is_ready(); });
+		wait_until(
+		    "the VM is ready again", [&] { return gone.is_ready(); });
 		for (const auto &run : runs) {
 			reply_t reply = gone.book(run.first);
 			expect_honest(fleet, run.first, reply);
--- a/tests/system/platform_contract_test.cc
+++ b/tests/system/platform_contract_test.cc
@@ -1,6 +1,7 @@
 /**
  * @file platform_contract_test.cc
- * @brief docs/interfaces/PLATFORM.md as tables, against $JUJUBE_BIN's stand-in.
+ * @brief Contract tests of docs/interfaces/PLATFORM.md as tables of requests,
+ * run against the stand-in in $JUJUBE_BIN.
  */
 #include <gtest/gtest.h>
 
@@ -26,9 +27,9 @@
 namespace
 {
 
-/* Statuses beyond those of HTTP. */
-const long CLOSED = 0; /* the connection ended without an answer */
-const long GAVE_UP = -1; /* the client's own limit passed first */
+/* Result codes in addition to the HTTP statuses. */
+const long CLOSED = 0; /* connection closed without an answer */
+const long GAVE_UP = -1; /* the client's time limit expired */
 
 struct Call {
 	const char *method;
@@ -39,8 +40,8 @@
 	long limit_ms = LIMIT_MS;
 };
 
-/* One connection a call: on a reused one libcurl sends again by itself when
- * the answer is lost, which would hide the fault. */
+/* Opens a connection for each call: on a reused one libcurl resends a request
+ * by itself when the answer is lost, which would hide the fault. */
 reply_t
 Send(const Call &call)
 {
@@ -58,7 +59,7 @@
 	return reply;
 }
 
-/* A stand-in process of its own for each test. */
+/* The stand-in process; each test starts a new one. */
 class Platform
 {
       public:
@@ -91,8 +92,9 @@
 		rmdir(folder_.c_str());
 	}
 
-	/* The exit status, which a sanitizer's finding changes; one that does
-	 * not end by itself is killed and fails the test. */
+	/* Terminates the stand-in and returns its exit status, which is
+	 * nonzero after a sanitizer finding. A process that does not exit in
+	 * time is killed and fails the test. */
 	int
 	Stop()
 	{
@@ -126,7 +128,7 @@
 		EXPECT_EQ(204, Ask("POST", "/control/fault", json).status);
 	}
 
-	/* Waits until the counts show that the stand-in has seen so much. */
+	/* Waits until the stand-in's request counts contain this text. */
 	void
 	AwaitCount(const std::string &wanted) const
 	{
@@ -337,7 +339,7 @@
 	    return std::string(info.param.name);
     });
 
-/* What happens to a watch that is already waiting. */
+/* An event during a pending watch, and the watch's expected answer. */
 struct WaitingCase {
 	const char *name;
 	const char *method;
@@ -357,8 +359,9 @@
 {
 };
 
-/* A VM's watch is open when the platform changes, is cut off or goes down.
- * If the watch slept on, the VM would believe itself up to date for a minute. */
+/* A VM's watch is pending when an object changes, the client is disconnected,
+ * or the platform fails. Unless the watch ends immediately, the VM assumes for
+ * up to a minute that it is up to date. */
 TEST_P(WaitingWatch, EndsAtOnce)
 {
 	const WaitingCase &param = GetParam();
@@ -382,8 +385,8 @@
 	    return std::string(info.param.name);
     });
 
-/* A planned stop of the stand-in while a watch waits and a call hangs: both
- * end, and so does the process. */
+/* The stand-in is stopped gracefully while a watch is pending and a call hangs:
+ * both end, and the process exits. */
 TEST(PlatformProcess, StopsWithCallsOpen)
 {
 	Platform platform({});
@@ -404,7 +407,7 @@
 	EXPECT_EQ(CLOSED, hung.status);
 }
 
-/* A slow platform: the answer comes no sooner than the delay. */
+/* With the delay fault, an answer takes at least the configured delay. */
 TEST(PlatformProcess, DelaysAnswers)
 {
 	Platform platform({});
@@ -416,8 +419,9 @@
 	    std::chrono::steady_clock::now() - before);
 }
 
-/* Eight clients count one number up by compare-and-swap. Were check and write
- * not one step, two would both succeed on one version and a count be lost. */
+/* Eight clients increment one counter by compare-and-swap. If check and write
+ * were not atomic, two writes could succeed on the same version and an
+ * increment would be lost. */
 TEST(PlatformProcess, ConditionalWritesAreLinearizable)
 {
 	const int clients = 8;
--- a/tests/system/poison_failure_test.cc
+++ b/tests/system/poison_failure_test.cc
@@ -1,6 +1,6 @@
 /*
- * A request that crashes each engine that runs it must not take the fleet
- * down, nor the requests beside it.
+ * A request that crashes each engine that runs it must not bring down the
+ * fleet, nor make other requests on the same engines fail.
  */
 #include "tests/system/harness.h"
 
@@ -21,7 +21,7 @@
 	return dead;
 }
 
-/* Restarts the engines that died; the VMs give them work again. */
+/* Restarts the engines that crashed; the VMs use them again. */
 void
 restart_dead(fleet_t &fleet)
 {
@@ -32,9 +32,9 @@
 }
 
 /*
- * One timesheet note crashes every engine that runs it. Its caller sends it
- * again, through other VMs and under other keys. Without a quarantine that
- * the VMs share, each resend costs an engine until none is left.
+ * A request crashes every engine that runs it, and its caller resends it
+ * through other VMs and under other keys. Without a quarantine shared between
+ * the VMs, each resend crashes another engine until none is left.
  */
 TEST(PoisonFailure, CrashingRequestCostsTwoEnginesAtMost)
 {
@@ -69,9 +69,9 @@
 }
 
 /*
- * The note is sent at all VMs at once, before any of them has heard of a
- * crash. Each may lose engines of its own to it, but no longer than until it
- * hears of the others' crashes: then it is refused everywhere.
+ * The crashing request is sent to all VMs at the same time, before any of them
+ * has received a crash report. Each VM may lose engines to it until it
+ * receives the crash reports of the others; from then on every VM refuses it.
  */
 TEST(PoisonFailure, SentAtOnceItIsRefusedEverywhereAfterwards)
 {
@@ -99,9 +99,9 @@
 }
 
 /*
- * Orders run on the same engines when the note crashes them. They must
- * complete elsewhere, and must not be held for poison themselves, now or
- * when they are sent again.
+ * Healthy requests run on the same engines when the crashing request arrives.
+ * They must complete on other engines and must not be quarantined themselves,
+ * neither now nor when they are resent.
  */
 TEST(PoisonFailure, RequestsBesideItComplete)
 {
--- a/tests/system/ports.cc
+++ b/tests/system/ports.cc
@@ -1,5 +1,5 @@
 /*
- * Ports of the failure tests, each held by one fleet of one program.
+ * Loopback ports for the failure tests; test programs reserve them in blocks.
  */
 #include <arpa/inet.h>
 #include <fcntl.h>
@@ -21,8 +21,8 @@
 namespace
 {
 
-/* Below the ports that the kernel gives to outgoing connections, so that no
- * connection takes the port of a process that is to be restarted. */
+/* Below the kernel's ephemeral range, so that no outgoing connection takes the
+ * port of a process that is being restarted. */
 constexpr int PORT_LEAST = 10000;
 constexpr int BLOCKS = 200;
 constexpr int PORTS_PER_BLOCK = 100;
@@ -66,7 +66,7 @@
 	return "127.0.0.1:" + std::to_string(port);
 }
 
-/* Programs begin their search at different blocks. */
+/* Test programs start their search at different blocks. */
 void
 ports_t::lock_block()
 {
@@ -79,7 +79,8 @@
 		}
 		poll(nullptr, 0, POLL_MS);
 	}
-	fprintf(stderr, "no block of ports came free\n");
+	fprintf(
+	    stderr, "no block of ports became free within the time limit\n");
 	abort();
 }
 
--- a/tests/system/ports_test.cc
+++ b/tests/system/ports_test.cc
@@ -1,5 +1,5 @@
 /*
- * Ports of test programs that run side by side.
+ * Port allocation for fleets that run at the same time.
  */
 #include <set>
 
@@ -12,7 +12,7 @@
 namespace
 {
 
-/* Guards against a fleet that talks to processes of another one. */
+/* Guards against a fleet that connects to processes of another fleet. */
 TEST(Ports, FleetsSideBySideShareNone)
 {
 	std::set<std::string> chosen;
