--- a/tests/system/answer_failure_test.cc
+++ b/tests/system/answer_failure_test.cc
@@ -20,7 +20,7 @@
 
 /* Concatenates the text of all events of a stream. */
 std::string
-text_in(const std::string &events)
+streamed_text(const std::string &events)
 {
 	std::string text;
 	size_t at = 0;
@@ -38,8 +38,8 @@
 std::string
 outcome_of(const standin_t &engine, const std::string &prompt)
 {
-	json_view_t list(engine.ask("/records").body);
-	std::string text = text_of(prompt, 1);
+	json_view_t list(engine.query("/records").body);
+	std::string text = expected_text(prompt, 1);
 	std::string hash = text.substr(3, 8);
 	std::string outcome;
 
@@ -63,7 +63,7 @@
 		const char *name;
 		const char *fault;
 		bool streams;
-		bool helper; /* another engine can give the complete answer */
+		bool has_healthy_engine; /* a retry there can succeed */
 	} cases[] = {
 	    {"truncated, whole", "{\"truncate_next\":3}", false, true},
 	    {"truncated, stream", "{\"truncate_next\":3}", true, false},
@@ -87,7 +87,7 @@
 		 * up the retry budget of the next. */
 		fleet_t fleet(options);
 		fleet.engines[0].fault(row.fault);
-		if (!row.helper)
+		if (!row.has_healthy_engine)
 			fleet.engines[1].fault(row.fault);
 		for (int i = 0; i < 6; i++) {
 			std::string prompt = row.name + std::to_string(i);
@@ -97,23 +97,25 @@
 				EXPECT_EQ(reply.status == 200,
 				    is_answer_to(reply, prompt, 8))
 				    << reply.body;
-				EXPECT_TRUE(!row.helper || reply.status == 200)
+				EXPECT_TRUE(!row.has_healthy_engine ||
+				    reply.status == 200)
 				    << reply.body;
 				continue;
 			}
 			stream_t stream(vm.callers + "/v1/completions",
 			    stream_request(prompt, 8));
 			const reply_t &reply = stream.finish();
-			std::string text = text_in(reply.body);
-			EXPECT_EQ(text_of(prompt, 8).rfind(text, 0), 0u)
+			std::string text = streamed_text(reply.body);
+			EXPECT_EQ(expected_text(prompt, 8).rfind(text, 0), 0u)
 			    << "text of another request: " << reply.body;
-			EXPECT_EQ(reply.has(DONE), text == text_of(prompt, 8))
+			EXPECT_EQ(
+			    reply.has(DONE), text == expected_text(prompt, 8))
 			    << reply.body;
 			EXPECT_TRUE(reply.has(DONE) || reply.status != 200 ||
 			    reply.code != CURLE_OK)
 			    << "a partial answer looks complete: "
 			    << reply.body;
-			EXPECT_TRUE(!row.helper || reply.has(DONE))
+			EXPECT_TRUE(!row.has_healthy_engine || reply.has(DONE))
 			    << reply.status << " " << reply.body;
 		}
 	}
@@ -182,7 +184,7 @@
 		wait_until("the stream runs", [&] {
 			return outcome_of(fleet.engines[0], row.prompt) ==
 			    "running" &&
-			    (!row.streams || stream.seen().size() > 0);
+			    (!row.streams || stream.received().size() > 0);
 		});
 		stream.hang_up();
 		wait_until("its slot is free", [&] {
@@ -215,7 +217,7 @@
 	stream_t slow(fleet.vm(0, 0).callers + "/v1/completions",
 	    stream_request("slow", 1000000));
 	wait_until(
-	    "the slow stream runs", [&] { return slow.seen().size() > 0; });
+	    "the slow stream runs", [&] { return slow.received().size() > 0; });
 	slow.pause(true);
 	for (int i = 0; i < 30; i++) {
 		std::string prompt = "beside " + std::to_string(i);
--- a/tests/system/backend_contract_test.cc
+++ b/tests/system/backend_contract_test.cc
@@ -142,7 +142,7 @@
 };
 
 std::string
-ask(const std::string &prompt, int tokens, bool stream)
+completion_body(const std::string &prompt, int tokens, bool stream)
 {
 	return "{\"prompt\":\"" + prompt +
 	    "\",\"max_tokens\":" + std::to_string(tokens) +
@@ -151,7 +151,7 @@
 
 /* The tokens expected for a prompt, from one index up to another. */
 std::string
-text_of(const std::string &prompt, int from, int to)
+expected_text(const std::string &prompt, int from, int to)
 {
 	char token[40];
 	std::string text;
@@ -166,7 +166,7 @@
 
 /* Concatenates the text of all events of a streamed answer. */
 std::string
-text_in(const std::string &events)
+streamed_text(const std::string &events)
 {
 	std::string text;
 	size_t at = 0;
@@ -203,14 +203,15 @@
 		bool stream;
 		const char *reason;
 	} cases[] = {
-	    {"whole", "/v1/completions", ask("a", 3, false), "a", 3, false,
-		"\"length\""},
-	    {"stream", "/v1/completions", ask("a", 3, true), "a", 3, true,
-		"\"length\""},
+	    {"whole", "/v1/completions", completion_body("a", 3, false), "a", 3,
+		false, "\"length\""},
+	    {"stream", "/v1/completions", completion_body("a", 3, true), "a", 3,
+		true, "\"length\""},
 	    {"default length", "/v1/completions", "{\"prompt\":\"a\"}", "a", 16,
 		false, "\"length\""},
-	    {"ends by itself", "/v1/completions", ask("<<stop 2>>", 9, true),
-		"<<stop 2>>", 2, true, "\"stop\""},
+	    {"ends by itself", "/v1/completions",
+		completion_body("<<stop 2>>", 9, true), "<<stop 2>>", 2, true,
+		"\"stop\""},
 	    {"chat", "/v1/chat/completions", chat + "}", "a\nb", 3, false,
 		"\"length\""},
 	    {"chat stream", "/v1/chat/completions", chat + ",\"stream\":true}",
@@ -222,7 +223,7 @@
 		SCOPED_TRACE(c.name);
 		reply_t reply = call("POST", engine.data + c.path, c.body,
 		    {"Jujube-Request: r1"});
-		std::string text = text_of(c.prompt, 0, c.tokens);
+		std::string text = expected_text(c.prompt, 0, c.tokens);
 		EXPECT_EQ(reply.status, 200);
 		EXPECT_EQ(reply.header("Jujube-Request"), "r1");
 		EXPECT_NE(reply.header("Jujube-Stream"), "");
@@ -232,7 +233,7 @@
 		    "\"completion_tokens\":" + std::to_string(c.tokens)));
 		EXPECT_EQ(reply.has(DONE), c.stream);
 		if (c.stream)
-			EXPECT_EQ(text_in(reply.body), text);
+			EXPECT_EQ(streamed_text(reply.body), text);
 		else
 			EXPECT_TRUE(reply.has("\"" + text + "\""));
 	}
@@ -246,24 +247,25 @@
 		std::string body;
 		CURLcode code;
 		long status;
-		const char *shows;
+		const char *contains;
 		std::string text;
 		const char *outcome;
 	} cases[] = {
-	    {"truncated", "{\"truncate_next\":1}", ask("p", 4, true), CURLE_OK,
-		200, "", text_of("p", 0, 2), "failed"},
-	    {"broken", "{\"break_next\":1}", ask("p", 400, true),
+	    {"truncated", "{\"truncate_next\":1}",
+		completion_body("p", 4, true), CURLE_OK, 200, "",
+		expected_text("p", 0, 2), "failed"},
+	    {"broken", "{\"break_next\":1}", completion_body("p", 400, true),
 		CURLE_PARTIAL_FILE, 200, "Jujube-Stream", "", "gone"},
-	    {"failed", "{\"fail_share\":1}", ask("p", 4, true), CURLE_OK, 500,
-		"problem+json", "", "failed"},
-	    {"refused", "{\"refuse\":true}", ask("p", 4, true), CURLE_OK, 503,
-		"problem+json", "", nullptr},
-	    {"leaving", "{\"leaving\":true}", ask("p", 4, true), CURLE_OK, 503,
-		"Jujube-Leaving: 1", "", nullptr},
-	    {"for good", "{}", ask("<<refuse>>", 4, true), CURLE_OK, 400,
-		"problem+json", "", nullptr},
-	    {"cut", "{\"cut\":[\"n1\"]}", ask("p", 4, true), CURLE_GOT_NOTHING,
-		0, "", "", nullptr},
+	    {"failed", "{\"fail_share\":1}", completion_body("p", 4, true),
+		CURLE_OK, 500, "problem+json", "", "failed"},
+	    {"refused", "{\"refuse\":true}", completion_body("p", 4, true),
+		CURLE_OK, 503, "problem+json", "", nullptr},
+	    {"leaving", "{\"leaving\":true}", completion_body("p", 4, true),
+		CURLE_OK, 503, "Jujube-Leaving: 1", "", nullptr},
+	    {"for good", "{}", completion_body("<<refuse>>", 4, true), CURLE_OK,
+		400, "problem+json", "", nullptr},
+	    {"cut", "{\"cut\":[\"n1\"]}", completion_body("p", 4, true),
+		CURLE_GOT_NOTHING, 0, "", "", nullptr},
 	    {"malformed", "{}", "{\"prompt\":1}", CURLE_OK, 400, "prompt", "",
 		nullptr},
 	};
@@ -276,9 +278,9 @@
 		    c.body, {"Jujube-Client: n1", "Jujube-Class: batch"});
 		EXPECT_EQ(reply.code, c.code);
 		EXPECT_EQ(reply.status, c.status);
-		EXPECT_TRUE(reply.has(c.shows)) << reply.headers;
+		EXPECT_TRUE(reply.has(c.contains)) << reply.headers;
 		EXPECT_FALSE(reply.has(DONE));
-		EXPECT_EQ(text_in(reply.body), c.text);
+		EXPECT_EQ(streamed_text(reply.body), c.text);
 		if (c.outcome == nullptr) {
 			engine.wait_for("/records", "[]");
 			continue;
@@ -299,8 +301,8 @@
 {
 	backend_t engine("standin-engine", {"--step-ms=1"});
 	engine.fault("{\"truncate_next\":1}");
-	reply_t first =
-	    call("POST", engine.data + "/v1/completions", ask("p", 4, true));
+	reply_t first = call("POST", engine.data + "/v1/completions",
+	    completion_body("p", 4, true));
 	std::string id = first.header("Jujube-Stream");
 	std::string boot = first.header("Jujube-Boot");
 	const struct {
@@ -314,8 +316,8 @@
 	    {"another boot", id, "0123456789abcdef", 1, 409, ""},
 	    {"unknown", "999", boot, 0, 404, ""},
 	    {"ahead of the stream", id, boot, 3, 400, ""},
-	    {"goes on", id, boot, 1, 200, text_of("p", 1, 4)},
-	    {"was whole already", id, boot, 0, 200, text_of("p", 0, 4)},
+	    {"goes on", id, boot, 1, 200, expected_text("p", 1, 4)},
+	    {"was whole already", id, boot, 0, 200, expected_text("p", 0, 4)},
 	    {"only the end", id, boot, 4, 200, ""},
 	};
 
@@ -326,7 +328,7 @@
 		    "{\"boot\":\"" + c.boot +
 			"\",\"from\":" + std::to_string(c.from) + "}");
 		EXPECT_EQ(reply.status, c.status);
-		EXPECT_EQ(text_in(reply.body), c.text);
+		EXPECT_EQ(streamed_text(reply.body), c.text);
 		EXPECT_EQ(reply.has(DONE), c.status == 200);
 	}
 }
@@ -338,14 +340,15 @@
 	std::string prompt(600, 'x');
 
 	from.fault("{\"truncate_next\":1}");
-	call("POST", from.data + "/v1/completions", ask(prompt, 4, true));
+	call("POST", from.data + "/v1/completions",
+	    completion_body(prompt, 4, true));
 	reply_t blob = call("GET", from.data + "/v1/streams/1/kv");
 	reply_t put = call("PUT", to.data + "/v1/kv", blob.body);
 	EXPECT_TRUE(put.has("\"stream\":\"1\"")) << put.body;
 	EXPECT_TRUE(put.has("\"position\":2")) << put.body;
 	reply_t reply = call("POST", to.data + "/v1/streams/1/resume",
 	    "{\"boot\":\"" + put.header("Jujube-Boot") + "\",\"from\":2}");
-	EXPECT_EQ(text_in(reply.body), text_of(prompt, 2, 4));
+	EXPECT_EQ(streamed_text(reply.body), expected_text(prompt, 2, 4));
 	EXPECT_TRUE(reply.has("\"cached_tokens\":128")) << reply.body;
 	EXPECT_EQ(call("PUT", to.data + "/v1/kv", "{}").status, 400);
 	EXPECT_EQ(call("GET", to.data + "/v1/streams/9/kv").status, 404);
@@ -363,9 +366,9 @@
 		const char *name;
 		std::string body;
 	} cases[] = {
-	    {"stream with tokens", ask("p", 100000, true)},
-	    {"stream without a token", ask("<<hang>>", 1, true)},
-	    {"whole answer", ask("<<hang>>", 1, false)},
+	    {"stream with tokens", completion_body("p", 100000, true)},
+	    {"stream without a token", completion_body("<<hang>>", 1, true)},
+	    {"whole answer", completion_body("<<hang>>", 1, false)},
 	};
 
 	for (const auto &c : cases) {
@@ -375,7 +378,7 @@
 		engine.wait_for("/records", "\"outcome\":\"running\"");
 		curl_easy_cleanup(lost);
 		reply_t next = call("POST", engine.data + "/v1/completions",
-		    ask("next", 1, false));
+		    completion_body("next", 1, false));
 		EXPECT_EQ(next.status, 200);
 		engine.wait_for("/records", "\"outcome\":\"gone\"");
 	}
@@ -396,7 +399,7 @@
 		reply_t first;
 		std::thread caller([&] {
 			first = call("POST", engine.data + "/v1/completions",
-			    ask("<<hang>>", 1, c.stream));
+			    completion_body("<<hang>>", 1, c.stream));
 		});
 		engine.wait_for("/records", "\"outcome\":\"running\"");
 		EXPECT_TRUE(call("POST", cancel).has("\"cancelled\":true"));
@@ -405,7 +408,7 @@
 		EXPECT_EQ(first.status, c.status);
 		EXPECT_FALSE(first.has(DONE));
 		reply_t next = call("POST", engine.data + "/v1/completions",
-		    ask("next", 1, false));
+		    completion_body("next", 1, false));
 		EXPECT_EQ(next.status, 200);
 		engine.wait_for("/records", "\"outcome\":\"cancelled\"");
 	}
@@ -474,13 +477,13 @@
 		    {"--cache-blocks=2", "--step-ms=1", "--event-lag-ms=0",
 			c.gap});
 		std::string url = engine.data + "/v1/completions";
-		EXPECT_TRUE(call("POST", url, ask(a, 1, false))
+		EXPECT_TRUE(call("POST", url, completion_body(a, 1, false))
 				.has("\"cached_tokens\":0"));
-		EXPECT_TRUE(call("POST", url, ask(a, 1, false))
+		EXPECT_TRUE(call("POST", url, completion_body(a, 1, false))
 				.has("\"cached_tokens\":128"));
-		EXPECT_TRUE(call("POST", url, ask(b, 1, false))
+		EXPECT_TRUE(call("POST", url, completion_body(b, 1, false))
 				.has("\"cached_tokens\":0"));
-		EXPECT_TRUE(call("POST", url, ask(a, 1, false))
+		EXPECT_TRUE(call("POST", url, completion_body(a, 1, false))
 				.has("\"cached_tokens\":0"));
 		reply_t events =
 		    call("GET", engine.data + "/cache/events?since=0");
@@ -506,7 +509,7 @@
 		callers.emplace_back([&replies, &engine, i] {
 			replies[i] =
 			    call("POST", engine.data + "/v1/completions",
-				ask("p", 4, i % 2 == 0));
+				completion_body("p", 4, i % 2 == 0));
 		});
 	}
 	engine.wait_for_url(
@@ -526,8 +529,10 @@
 	std::vector<std::thread> callers;
 
 	for (int i = 0; i < 2; i++) {
-		callers.emplace_back(
-		    [&] { call("POST", url, ask("<<hang>>", 1, false)); });
+		callers.emplace_back([&] {
+			call(
+			    "POST", url, completion_body("<<hang>>", 1, false));
+		});
 	}
 	engine.wait_for_url(engine.data + "/load", "\"running\":2");
 	engine.fault("{\"load_frozen\":true}");
@@ -537,7 +542,8 @@
 		caller.join();
 	/* By the time this is answered, the load report would have been
 	 * refreshed if it were not frozen. */
-	EXPECT_EQ(call("POST", url, ask("next", 1, false)).status, 200);
+	EXPECT_EQ(
+	    call("POST", url, completion_body("next", 1, false)).status, 200);
 	EXPECT_TRUE(call("GET", engine.data + "/load").has("\"running\":2"));
 	engine.fault("{\"load_frozen\":false}");
 	engine.wait_for_url(engine.data + "/load", "\"running\":0");
@@ -549,7 +555,7 @@
 		backend_t engine("standin-engine",
 		    crashes ? strings_t{} : strings_t{"--no-crash"});
 		reply_t reply = call("POST", engine.data + "/v1/completions",
-		    ask("<<crash>>", 1, false));
+		    completion_body("<<crash>>", 1, false));
 		EXPECT_EQ(reply.status, crashes ? 0 : 200);
 		if (crashes) {
 			EXPECT_EQ(engine.wait_exit(), 1);
--- a/tests/system/config_failure_test.cc
+++ b/tests/system/config_failure_test.cc
@@ -166,11 +166,11 @@
 			}
 		}
 	});
-	vm_t &frozen = fleet.vm(0, 1);
+	vm_t &paused_vm = fleet.vm(0, 1);
 	long version = 1;
 
 	for (int round = 0; round < 4; round++) {
-		frozen.process->freeze();
+		paused_vm.process->pause();
 		if (round % 2 == 1)
 			fleet.platform.fault("{\"watch_gap\":true,"
 					     "\"watch_drop\":2}");
@@ -180,7 +180,7 @@
 			EXPECT_EQ(reply.status, 200) << reply.body;
 			version = reply.number("version");
 		}
-		frozen.process->thaw();
+		paused_vm.process->resume();
 		for (const std::unique_ptr<vm_t> &vm : fleet.vms)
 			wait_until(vm->name + " has the newest",
 			    [&] { return vm->version() == version; });
@@ -196,18 +196,19 @@
  */
 TEST(ConfigFailure, LateReadNeverTakesAVmBack)
 {
-	constexpr long late_ms = 1200; /* below platform.timeout_ms */
+	constexpr long read_delay_ms = 1200; /* below platform.timeout_ms */
 	fleet_t fleet(config_options());
 	vm_t &slow = fleet.vm(0, 1);
 	long reads = fleet.platform.count("by_prefix.config/.get");
 	long version = 1;
 
-	fleet.platform.fault("{\"delay_ms\":" + std::to_string(late_ms) + "}");
+	fleet.platform.fault(
+	    "{\"delay_ms\":" + std::to_string(read_delay_ms) + "}");
 	fleet.replace(slow);
 	wait_until("the VM reads at the platform", [&] {
 		return fleet.platform.count("by_prefix.config/.get") > reads;
 	});
-	long due = now_ms() + late_ms + late_ms / 4;
+	long due = now_ms() + read_delay_ms + read_delay_ms / 4;
 	fleet.platform.fault("{\"delay_ms\":0}");
 	for (int i = 0; i < 3; i++) {
 		reply_t reply =
--- a/tests/system/cut_failure_test.cc
+++ b/tests/system/cut_failure_test.cc
@@ -59,7 +59,7 @@
 
 /* Waits until every VM serves all of its bookings. */
 void
-wait_whole(const fleet_t &fleet, const std::string &name)
+wait_all_served(const fleet_t &fleet, const std::string &name)
 {
 	int round = 0;
 
@@ -74,7 +74,7 @@
 /* Checks that all VMs, on both sides of a partition, serve online requests of
  * a model. */
 void
-expect_online(const fleet_t &fleet, const std::string &name)
+expect_online_served(const fleet_t &fleet, const std::string &name)
 {
 	for (const std::unique_ptr<vm_t> &vm : fleet.vms) {
 		for (const std::string &prompt : make_prompts(name, 4)) {
@@ -88,7 +88,7 @@
 /* Checks that a VM accepts new jobs and patches exactly if it reaches the
  * platform. Returns the version after the patch. */
 long
-expect_durable(const vm_t &vm, const std::string &file, long version,
+expect_storage_requests(const vm_t &vm, const std::string &file, long version,
     bool platform, const std::string &name)
 {
 	reply_t job = vm.submit(file, name + vm.name);
@@ -118,25 +118,25 @@
 	for (const cut_row_t &row : ROWS) {
 		SCOPED_TRACE(row.name);
 		std::string name = row.name;
-		wait_whole(fleet, name + "-before-");
+		wait_all_served(fleet, name + "-before-");
 		if (row.others)
 			fleet.cut_domain(0, true);
 		if (row.platform)
 			fleet.cut_platform_from_domain(0);
-		expect_online(fleet, name);
+		expect_online_served(fleet, name);
 		for (const std::unique_ptr<vm_t> &vm : fleet.vms) {
 			/* At least the keys homed in the VM's domain. */
 			EXPECT_GT(book_many(fleet, *vm, name), 0) << vm->name;
 		}
-		version = expect_durable(
+		version = expect_storage_requests(
 		    fleet.vm(0, 1), file, version, !row.platform, name);
-		version =
-		    expect_durable(fleet.vm(1, 1), file, version, true, name);
-		expect_online(fleet, name + " later");
+		version = expect_storage_requests(
+		    fleet.vm(1, 1), file, version, true, name);
+		expect_online_served(fleet, name + " later");
 
 		fleet.cut_domain(0, false);
 		fleet.cut_platform({});
-		wait_whole(fleet, name + "-after-");
+		wait_all_served(fleet, name + "-after-");
 		std::string id =
 		    fleet.vm(0, 0).submit(file, name + "sala-b-2").text("id");
 		fleet.wait_job(fleet.vm(0, 0), id);
--- a/tests/system/harness.cc
+++ b/tests/system/harness.cc
@@ -40,7 +40,7 @@
 /* Signal handler: without it, child processes would outlive a test program that
  * crashes or is stopped. */
 void
-end_children(int number)
+kill_children(int number)
 {
 	for (std::atomic<pid_t> &child : children) {
 		if (child > 0)
@@ -51,13 +51,13 @@
 }
 
 void
-remember_child(pid_t pid)
+register_child(pid_t pid)
 {
 	static std::once_flag once;
 
 	std::call_once(once, [] {
 		for (int number : {SIGTERM, SIGINT, SIGABRT, SIGSEGV})
-			signal(number, end_children);
+			signal(number, kill_children);
 	});
 	for (std::atomic<pid_t> &child : children) {
 		pid_t none = 0;
@@ -67,7 +67,7 @@
 }
 
 void
-forget_child(pid_t pid)
+unregister_child(pid_t pid)
 {
 	for (std::atomic<pid_t> &child : children) {
 		pid_t found = pid;
@@ -114,7 +114,7 @@
 }
 
 std::string
-quote_prompt(const std::string &prompt, int tokens)
+completion_body(const std::string &prompt, int tokens)
 {
 	return "{\"model\":\"narrador\",\"prompt\":\"" + prompt +
 	    "\",\"max_tokens\":" + std::to_string(tokens) + "}";
@@ -258,7 +258,7 @@
 }
 
 std::string
-stream_t::seen() const
+stream_t::received() const
 {
 	std::lock_guard<std::mutex> guard(lock);
 
@@ -291,13 +291,13 @@
 	CURL *curl = curl_easy_init();
 	curl_slist *list = prepare(curl, url, headers);
 
-	curl_easy_setopt(curl, CURLOPT_SOCKOPTFUNCTION, narrow);
+	curl_easy_setopt(curl, CURLOPT_SOCKOPTFUNCTION, shrink_receive_buffer);
 	curl_easy_setopt(curl, CURLOPT_POSTFIELDS, body.c_str());
 	curl_easy_setopt(curl, CURLOPT_HEADERDATA, &reply.headers);
-	curl_easy_setopt(curl, CURLOPT_WRITEFUNCTION, take);
+	curl_easy_setopt(curl, CURLOPT_WRITEFUNCTION, on_data);
 	curl_easy_setopt(curl, CURLOPT_WRITEDATA, this);
 	curl_easy_setopt(curl, CURLOPT_NOPROGRESS, 0L);
-	curl_easy_setopt(curl, CURLOPT_XFERINFOFUNCTION, look);
+	curl_easy_setopt(curl, CURLOPT_XFERINFOFUNCTION, on_progress);
 	curl_easy_setopt(curl, CURLOPT_XFERINFODATA, this);
 	reply.code = curl_easy_perform(curl);
 	curl_easy_getinfo(curl, CURLINFO_RESPONSE_CODE, &reply.status);
@@ -307,7 +307,7 @@
 }
 
 size_t
-stream_t::take(char *data, size_t size, size_t count, void *ctx)
+stream_t::on_data(char *data, size_t size, size_t count, void *ctx)
 {
 	stream_t *stream = static_cast<stream_t *>(ctx);
 
@@ -321,7 +321,7 @@
 /* With a large receive buffer, the sender would not notice for a long time that
  * the caller doesn't read. */
 int
-stream_t::narrow(void *, curl_socket_t fd, curlsocktype)
+stream_t::shrink_receive_buffer(void *, curl_socket_t fd, curlsocktype)
 {
 	int size = 4096;
 
@@ -330,7 +330,7 @@
 }
 
 int
-stream_t::look(void *ctx, curl_off_t, curl_off_t, curl_off_t, curl_off_t)
+stream_t::on_progress(void *ctx, curl_off_t, curl_off_t, curl_off_t, curl_off_t)
 {
 	return static_cast<stream_t *>(ctx)->stop ? 1 : 0;
 }
@@ -345,7 +345,7 @@
 
 /* Factor applied to time limits, since instrumented programs run slowly. */
 static long
-patience()
+time_limit_factor()
 {
 	const char *text = getenv("JUJUBE_PATIENCE");
 
@@ -353,12 +353,12 @@
 }
 
 bool
-wait_until(
-    const std::string &what, const std::function<bool()> &holds, long limit_ms)
+wait_until(const std::string &what, const std::function<bool()> &condition,
+    long limit_ms)
 {
-	long until = now_ms() + limit_ms * patience();
+	long until = now_ms() + limit_ms * time_limit_factor();
 
-	while (!holds()) {
+	while (!condition()) {
 		if (now_ms() >= until) {
 			ADD_FAILURE()
 			    << "not reached within the time limit: " << what;
@@ -404,7 +404,7 @@
 	    0)
 	    << program;
 	posix_spawn_file_actions_destroy(&actions);
-	remember_child(pid);
+	register_child(pid);
 }
 
 void
@@ -415,13 +415,13 @@
 }
 
 void
-process_t::freeze()
+process_t::pause()
 {
 	signal(SIGSTOP);
 }
 
 void
-process_t::thaw()
+process_t::resume()
 {
 	signal(SIGCONT);
 }
@@ -468,7 +468,7 @@
 	if (pid <= 0 || waitpid(pid, &value, flags) != pid)
 		return;
 	status = WIFEXITED(value) ? WEXITSTATUS(value) : -1;
-	forget_child(pid);
+	unregister_child(pid);
 	pid = -1;
 }
 
@@ -496,7 +496,7 @@
 }
 
 reply_t
-standin_t::ask(const std::string &path) const
+standin_t::query(const std::string &path) const
 {
 	return call("GET", control + path);
 }
@@ -504,7 +504,7 @@
 long
 standin_t::count(const std::string &path) const
 {
-	return ask("/counts").number(path);
+	return query("/counts").number(path);
 }
 
 /* ---- VMs ---- */
@@ -540,7 +540,7 @@
     const std::string &prompt, int tokens, const strings_t &headers) const
 {
 	return call("POST", callers + "/v1/completions",
-	    quote_prompt(prompt, tokens), headers);
+	    completion_body(prompt, tokens), headers);
 }
 
 std::future<reply_t>
@@ -548,7 +548,7 @@
     const std::string &prompt, int tokens, const strings_t &headers) const
 {
 	return call_later("POST", callers + "/v1/completions",
-	    quote_prompt(prompt, tokens), headers);
+	    completion_body(prompt, tokens), headers);
 }
 
 reply_t
@@ -576,7 +576,7 @@
 		lines += "{\"custom_id\":\"" + prompt +
 		    "\",\"method\":\"POST\",\"url\":\"/v1/completions\","
 		    "\"body\":" +
-		    quote_prompt(prompt, tokens) + "}\n";
+		    completion_body(prompt, tokens) + "}\n";
 	}
 	reply = call("POST", callers + "/v1/files", lines);
 	EXPECT_EQ(reply.status, 200) << reply.body;
@@ -617,7 +617,7 @@
 
 /* ---- The fleet ---- */
 
-fleet_t::fleet_t(const fleet_options_t &wanted) : options(wanted)
+fleet_t::fleet_t(const fleet_options_t &requested) : options(requested)
 {
 	char path[] = "/tmp/jujube-test-XXXXXX";
 
@@ -632,7 +632,7 @@
 	list_leaving({});
 	for (const std::unique_ptr<vm_t> &vm : vms) {
 		std::ofstream(folder + "/" + vm->name + ".toml", std::ios::app)
-		    << describe_seeds(vm->domain);
+		    << describe_static_peers(vm->domain);
 		vm->process->start();
 	}
 	wait_until("the first configuration is accepted", [this] {
@@ -640,7 +640,7 @@
 		    vms[0]->version() > 0;
 	});
 	wait_ready();
-	wait_acquainted();
+	wait_members_live();
 }
 
 fleet_t::~fleet_t()
@@ -748,7 +748,7 @@
 
 /* Until VMs have received each other's heartbeats, they share no state. */
 void
-fleet_t::wait_acquainted() const
+fleet_t::wait_members_live() const
 {
 	for (const std::unique_ptr<vm_t> &vm : vms) {
 		wait_until(vm->name + " sees all VMs of its domain as live",
@@ -806,7 +806,7 @@
 fleet_t::has_run(const std::string &key) const
 {
 	for (const standin_t &service : services) {
-		if (service.ask("/runs").has("\"" + key + "\""))
+		if (service.query("/runs").has("\"" + key + "\""))
 			return true;
 	}
 	return false;
@@ -882,7 +882,7 @@
 /* Static neighbours and backend servers, which a VM can use without the
  * platform; as in the examples. */
 std::string
-fleet_t::describe_seeds(const std::string &domain) const
+fleet_t::describe_static_peers(const std::string &domain) const
 {
 	std::string text;
 
@@ -908,7 +908,7 @@
 std::string
 fleet_t::describe_writes() const
 {
-	json_view_t log(platform.ask("/log?prefix=").body);
+	json_view_t log(platform.query("/log?prefix=").body);
 	size_t from = log.size() > WRITES_TAIL ? log.size() - WRITES_TAIL : 0;
 	std::string text;
 
@@ -967,7 +967,7 @@
 /* ---- Checks ---- */
 
 std::string
-text_of(const std::string &prompt, int tokens)
+expected_text(const std::string &prompt, int tokens)
 {
 	char token[40];
 	std::string text;
@@ -985,7 +985,7 @@
 is_answer_to(const reply_t &reply, const std::string &prompt, int tokens)
 {
 	return reply.status == 200 &&
-	    reply.text("choices.0.text") == text_of(prompt, tokens);
+	    reply.text("choices.0.text") == expected_text(prompt, tokens);
 }
 
 strings_t
@@ -1023,7 +1023,7 @@
 	for (const std::string &prompt : prompts) {
 		json_view_t line(found[prompt]);
 		EXPECT_EQ(line.text("response.body.choices.0.text"),
-		    text_of(prompt, tokens))
+		    expected_text(prompt, tokens))
 		    << prompt << ": " << found[prompt];
 	}
 }
@@ -1032,7 +1032,7 @@
 expect_written_once(const standin_t &platform, const std::string &id)
 {
 	std::string prefix = "jobs/" + id + "/out/";
-	json_view_t log(platform.ask("/log?prefix=" + prefix).body);
+	json_view_t log(platform.query("/log?prefix=" + prefix).body);
 	std::map<std::string, int> writes;
 
 	for (size_t i = 0; i < log.size(); i++) {
--- a/tests/system/harness.h
+++ b/tests/system/harness.h
@@ -78,7 +78,7 @@
 	/* Closes the connection if the answer has not ended. */
 	~stream_t();
 	stream_t(const stream_t &) = delete;
-	std::string seen() const;
+	std::string received() const;
 	/* While paused, reads nothing from the connection, like a slow
 	 * caller. */
 	void pause(bool paused);
@@ -99,14 +99,15 @@
 	std::thread thread;
 
 	void run();
-	static size_t take(char *, size_t, size_t, void *);
-	static int narrow(void *, curl_socket_t, curlsocktype);
-	static int look(void *, curl_off_t, curl_off_t, curl_off_t, curl_off_t);
+	static size_t on_data(char *, size_t, size_t, void *);
+	static int shrink_receive_buffer(void *, curl_socket_t, curlsocktype);
+	static int
+	on_progress(void *, curl_off_t, curl_off_t, curl_off_t, curl_off_t);
 };
 
 /* Polls a condition. When the time limit expires, fails the test and returns
  * false. */
-bool wait_until(const std::string &what, const std::function<bool()> &holds,
+bool wait_until(const std::string &what, const std::function<bool()> &condition,
     long limit_ms = LIMIT_MS);
 /* Milliseconds of a monotonic clock. */
 long now_ms();
@@ -120,8 +121,8 @@
 	process_t(const process_t &) = delete;
 	void start();
 	void kill();
-	void freeze();
-	void thaw();
+	void pause();
+	void resume();
 	void terminate();
 	/* Waits until the process exits; returns the exit status, or -1 after
 	 * a signal. */
@@ -152,7 +153,7 @@
 
 	void start();
 	void fault(const std::string &json) const;
-	reply_t ask(const std::string &path) const;
+	reply_t query(const std::string &path) const;
 	/* A number in the answer of /control/counts. */
 	long count(const std::string &path) const;
 };
@@ -238,19 +239,19 @@
 	fleet_options_t options;
 	std::string folder;
 
-	void wait_acquainted() const;
+	void wait_members_live() const;
 	void add_standin(standin_t &, const std::string &name,
 	    const std::string &program, strings_t);
 	void add_servers(const std::string &domain);
 	void add_vm(const std::string &domain, int number);
-	std::string describe_seeds(const std::string &domain) const;
+	std::string describe_static_peers(const std::string &domain) const;
 	std::string describe_vms(const strings_t &leaving) const;
 	std::string describe_writes() const;
 	std::string describe_config() const;
 };
 
 /* The text expected for a prompt. */
-std::string text_of(const std::string &prompt, int tokens);
+std::string expected_text(const std::string &prompt, int tokens);
 /* Whether a reply is the complete answer to this prompt. */
 bool is_answer_to(const reply_t &reply, const std::string &prompt, int tokens);
 strings_t make_prompts(const std::string &name, int count);
--- a/tests/system/leave_failure_test.cc
+++ b/tests/system/leave_failure_test.cc
@@ -58,13 +58,13 @@
 			engine.fault("{\"leaving\":true}");
 		else
 			fleet.list_leaving({engine.name});
-		long told = now_ms();
+		long requested_ms = now_ms();
 		serve("meanwhile ");
 		for (const std::unique_ptr<vm_t> &vm : fleet.vms)
 			wait_until(vm->name + " sends it no new requests",
 			    [&] { return !takes_work(*vm, engine.name); });
 		printf("%s: no new work after %ld ms\n", row.name,
-		    now_ms() - told);
+		    now_ms() - requested_ms);
 		long started = engine.count("started");
 		serve("after ");
 		EXPECT_EQ(engine.count("started"), started);
@@ -73,7 +73,7 @@
 
 /* The requests in progress at a VM when it is stopped. */
 struct load_t {
-	std::map<std::string, std::future<reply_t>> whole;
+	std::map<std::string, std::future<reply_t>> unstreamed;
 	std::vector<std::unique_ptr<stream_t>> streams;
 	std::future<reply_t> booking;
 	strings_t prompts = make_prompts("item", 60);
@@ -87,7 +87,7 @@
 	wait_until(
 	    "calls run", [&vm] { return vm.book("warm").status == 200; });
 	for (const std::string &prompt : make_prompts("whole", 6)) {
-		load.whole[prompt] = vm.complete_later(prompt, 60);
+		load.unstreamed[prompt] = vm.complete_later(prompt, 60);
 		load.streams.push_back(
 		    std::make_unique<stream_t>(vm.callers + "/v1/completions",
 			"{\"model\":\"narrador\",\"prompt\":\"s\","
@@ -97,7 +97,7 @@
 	load.booking = vm.book_later("in-progress");
 	for (const std::unique_ptr<stream_t> &stream : load.streams)
 		wait_until("a stream runs",
-		    [&stream] { return stream->seen().size() > 0; });
+		    [&stream] { return stream->received().size() > 0; });
 	wait_until("the booking runs",
 	    [&fleet] { return fleet.has_run("in-progress"); });
 }
@@ -105,9 +105,9 @@
 /* Checks that all requests in progress get complete answers; returns the answer
  * to the booking. */
 reply_t
-expect_whole(load_t &load)
+expect_all_complete(load_t &load)
 {
-	for (auto &later : load.whole) {
+	for (auto &later : load.unstreamed) {
 		reply_t reply = later.second.get();
 		EXPECT_TRUE(is_answer_to(reply, later.first, 60))
 		    << reply.status << reply.body;
@@ -125,7 +125,7 @@
 /* A request that arrives after the stop began is either served or refused as
  * not run, with a Retry-After header. */
 void
-expect_turned_away(const vm_t &vm)
+expect_served_or_refused(const vm_t &vm)
 {
 	reply_t late = vm.complete("late", 2);
 
@@ -167,11 +167,12 @@
 			call("POST", vm.operators + "/v1/drain");
 		else
 			vm.process->terminate();
-		long told = now_ms();
-		expect_turned_away(vm);
-		reply_t booked = expect_whole(load);
+		long requested_ms = now_ms();
+		expect_served_or_refused(vm);
+		reply_t booked = expect_all_complete(load);
 		EXPECT_EQ(vm.process->wait_exit(), 0);
-		printf("%s: ended after %ld ms\n", row.name, now_ms() - told);
+		printf("%s: ended after %ld ms\n", row.name,
+		    now_ms() - requested_ms);
 		EXPECT_EQ(vm.process->log_text().find("stop_forced"),
 		    std::string::npos);
 		fleet.services[0].fault("{\"delay_ms\":0}");
@@ -182,7 +183,7 @@
 		});
 		EXPECT_EQ(again.number("run"), booked.number("run"));
 		fleet.wait_job(fleet.vm(0, 1), load.job);
-		printf("its job ended after %ld ms\n", now_ms() - told);
+		printf("its job ended after %ld ms\n", now_ms() - requested_ms);
 		expect_results(
 		    fleet.vm(0, 1).results(load.job), load.prompts, 6);
 		EXPECT_EQ(fleet.runs("doubled"), 0);
--- a/tests/system/once_failure_test.cc
+++ b/tests/system/once_failure_test.cc
@@ -28,22 +28,22 @@
 }
 
 /* Key slots of a domain's ledger: JJ_LEDGER_SLOTS. */
-constexpr size_t SLOTS = 64;
+constexpr size_t KEY_SLOTS = 64;
 
-/* Key slots that have this VM as their home and a synced witness. */
+/* Complete key slots that have this VM as their home and a synced witness. */
 size_t
-count_acting(const vm_t &vm)
+count_served_slots(const vm_t &vm)
 {
 	json_view_t status(call("GET", vm.operators + "/v1/status").body);
-	size_t acting = 0;
+	size_t served = 0;
 
 	for (size_t i = 0; i < status.size("ledger.slots"); i++) {
 		std::string slot = "ledger.slots." + std::to_string(i) + ".";
-		acting += status.text(slot + "home") == vm.name &&
+		served += status.text(slot + "home") == vm.name &&
 		    status.is_true(slot + "complete") &&
 		    status.is_true(slot + "synced");
 	}
-	return acting;
+	return served;
 }
 
 /*
@@ -52,18 +52,20 @@
  * third of the 64 slots.
  */
 bool
-wait_settled(const fleet_t &fleet)
+wait_all_slots_served(const fleet_t &fleet)
 {
 	static int round;
 	std::string name = "settled-" + std::to_string(++round) + "-";
 	std::string body;
 
 	if (!wait_until("all slots have homes", [&fleet] {
-		    std::map<std::string, size_t> acting;
+		    std::map<std::string, size_t> served;
 		    for (const std::unique_ptr<vm_t> &vm : fleet.vms)
-			    acting[vm->domain] += count_acting(*vm);
-		    return std::all_of(acting.begin(), acting.end(),
-			[](const auto &row) { return row.second == SLOTS; });
+			    served[vm->domain] += count_served_slots(*vm);
+		    return std::all_of(
+			served.begin(), served.end(), [](const auto &row) {
+				return row.second == KEY_SLOTS;
+			});
 	    }))
 		return false;
 	for (const std::unique_ptr<vm_t> &vm : fleet.vms) {
@@ -83,12 +85,12 @@
 }
 
 long
-runs_of(const fleet_t &fleet, const std::string &key)
+count_runs(const fleet_t &fleet, const std::string &key)
 {
 	long runs = 0;
 
 	for (const standin_t &service : fleet.services) {
-		json_view_t list(service.ask("/runs").body);
+		json_view_t list(service.query("/runs").body);
 		for (size_t i = 0; i < list.size(); i++)
 			runs += list.text(std::to_string(i) + ".key") == key;
 	}
@@ -100,7 +102,7 @@
 find_sender(const fleet_t &fleet, const std::string &key)
 {
 	for (const standin_t &service : fleet.services) {
-		json_view_t list(service.ask("/runs").body);
+		json_view_t list(service.query("/runs").body);
 		for (size_t i = 0; i < list.size(); i++) {
 			std::string at = std::to_string(i);
 			std::string request = list.text(at + ".request");
@@ -124,7 +126,7 @@
 
 /* Checks that only a call that did not run is reported as "not run". */
 void
-expect_honest(
+expect_consistent_run_status(
     const fleet_t &fleet, const std::string &key, const reply_t &reply)
 {
 	std::string run = reply.text("run");
@@ -150,7 +152,7 @@
 
 	/* Also opens the connections: libcurl resends a request by itself when
 	 * a reused connection breaks before the first byte of the answer. */
-	ASSERT_TRUE(wait_settled(fleet));
+	ASSERT_TRUE(wait_all_slots_served(fleet));
 	for (const char *fault : faults) {
 		SCOPED_TRACE(fault);
 		std::string on = std::string("{\"") + fault + "\":";
@@ -169,7 +171,7 @@
 				EXPECT_EQ(reply.text("run"), "unknown")
 				    << reply.body;
 			}
-			EXPECT_EQ(runs_of(fleet, key), 1);
+			EXPECT_EQ(count_runs(fleet, key), 1);
 		}
 	}
 	EXPECT_EQ(fleet.runs("doubled"), 0);
@@ -234,7 +236,7 @@
 	const std::string key = "lost-sender";
 	vm_t *sender = nullptr;
 
-	ASSERT_TRUE(wait_settled(fleet));
+	ASSERT_TRUE(wait_all_slots_served(fleet));
 	fault_services(fleet, "{\"delay_ms\":500}");
 	std::future<reply_t> first = fleet.vm(0, 0).book_later(key);
 	wait_until("the call runs", [&] {
@@ -243,12 +245,12 @@
 	});
 	ASSERT_NE(sender, nullptr);
 	sender->process->kill();
-	expect_honest(fleet, key, first.get());
+	expect_consistent_run_status(fleet, key, first.get());
 	fault_services(fleet, "{\"delay_ms\":0}");
 	for (const std::unique_ptr<vm_t> &vm : fleet.vms) {
 		if (vm.get() == sender)
 			continue;
-		expect_honest(fleet, key, vm->book(key));
+		expect_consistent_run_status(fleet, key, vm->book(key));
 		reply_t reply;
 		wait_until("the outcome is reported as unknown", [&] {
 			reply = vm->book(key);
@@ -272,7 +274,7 @@
 	fleet_t fleet(once_options(2, 2));
 	int count = 25;
 
-	ASSERT_TRUE(wait_settled(fleet));
+	ASSERT_TRUE(wait_all_slots_served(fleet));
 	fault_services(fleet, "{\"delay_ms\":20}");
 	for (int i = 0; i < count; i++) {
 		std::string key = "at-once-" + std::to_string(i);
@@ -286,9 +288,9 @@
 				run = run < 0 ? reply.number("run") : run;
 				EXPECT_EQ(reply.number("run"), run);
 			}
-			expect_honest(fleet, key, reply);
+			expect_consistent_run_status(fleet, key, reply);
 		}
-		EXPECT_EQ(runs_of(fleet, key), 1) << key;
+		EXPECT_EQ(count_runs(fleet, key), 1) << key;
 		reply_t again = fleet.vm(1, 1).book(key);
 		EXPECT_EQ(again.number("run"), run) << again.body;
 		EXPECT_EQ(
@@ -306,8 +308,8 @@
 {
 	static const struct {
 		const char *name;
-		bool inside; /* between the VMs of a domain */
-		bool between; /* between the domains */
+		bool within_domain; /* between the VMs of a domain */
+		bool between_domains; /* between the domains */
 		bool platform;
 	} cases[] = {
 	    {"inside a domain", true, false, false},
@@ -321,15 +323,15 @@
 	for (const auto &row : cases) {
 		SCOPED_TRACE(row.name);
 		std::map<std::string, std::future<reply_t>> sent;
-		ASSERT_TRUE(wait_settled(fleet));
+		ASSERT_TRUE(wait_all_slots_served(fleet));
 		fault_services(fleet, "{\"delay_ms\":100}");
 		for (int i = 0; i < 40; i++) {
 			std::string key =
 			    std::string(row.name) + std::to_string(i);
 			sent[key] = fleet.vms[i % 4]->book_later(key);
-			if (i == 10 && row.inside)
+			if (i == 10 && row.within_domain)
 				fleet.cut(fleet.vm(0, 0), fleet.vm(0, 1), true);
-			if (i == 10 && row.between)
+			if (i == 10 && row.between_domains)
 				fleet.cut_domain(0, true);
 			if (i == 10 && row.platform)
 				fleet.cut_platform_from_domain(0);
@@ -339,25 +341,27 @@
 			first[later.first] = later.second.get();
 		for (const auto &answer : first) {
 			EXPECT_NE(answer.second.status, 0) << answer.first;
-			expect_honest(fleet, answer.first, answer.second);
+			expect_consistent_run_status(
+			    fleet, answer.first, answer.second);
 		}
 		fault_services(fleet, "{\"delay_ms\":0}");
 		for (int i = 0; i < 10; i++) {
 			std::string key =
 			    std::string(row.name) + std::to_string(i * 4);
 			for (const std::unique_ptr<vm_t> &vm : fleet.vms)
-				expect_honest(fleet, key, vm->book(key));
+				expect_consistent_run_status(
+				    fleet, key, vm->book(key));
 		}
 		fleet.cut(fleet.vm(0, 0), fleet.vm(0, 1), false);
 		fleet.cut_domain(0, false);
 		fleet.cut_platform({});
-		ASSERT_TRUE(wait_settled(fleet));
+		ASSERT_TRUE(wait_all_slots_served(fleet));
 		for (const auto &answer : first) {
 			for (const std::unique_ptr<vm_t> &vm : fleet.vms)
-				expect_honest(fleet, answer.first,
-				    vm->book(answer.first));
+				expect_consistent_run_status(fleet,
+				    answer.first, vm->book(answer.first));
 			if (answer.second.status == 200) {
-				EXPECT_EQ(runs_of(fleet, answer.first), 1);
+				EXPECT_EQ(count_runs(fleet, answer.first), 1);
 			}
 		}
 		EXPECT_EQ(fleet.runs("doubled"), 0);
@@ -373,24 +377,24 @@
 {
 	static const struct {
 		const char *name;
-		bool frozen;
+		bool paused;
 	} cases[] = {{"killed", false}, {"frozen", true}};
 
 	for (const auto &row : cases) {
 		SCOPED_TRACE(row.name);
 		fleet_t fleet(once_options(1, 3));
-		vm_t &gone = fleet.vm(0, 0);
+		vm_t &lost_vm = fleet.vm(0, 0);
 		std::map<std::string, long> runs;
-		ASSERT_TRUE(wait_settled(fleet));
+		ASSERT_TRUE(wait_all_slots_served(fleet));
 		for (int i = 0; i < 60; i++) {
 			std::string key = "kept-" + std::to_string(i);
 			runs[key] = fleet.vms[i % 3]->book(key).number("run");
 			EXPECT_GT(runs[key], 0) << key;
 		}
-		if (row.frozen)
-			gone.process->freeze();
+		if (row.paused)
+			lost_vm.process->pause();
 		else
-			gone.process->kill();
+			lost_vm.process->kill();
 		for (const auto &run : runs) {
 			reply_t reply;
 			wait_until(
@@ -400,15 +404,15 @@
 			    });
 			EXPECT_EQ(reply.number("run"), run.second);
 		}
-		if (row.frozen)
-			gone.process->thaw();
+		if (row.paused)
+			lost_vm.process->resume();
 		else
-			gone.process->start();
-		wait_until(
-		    "the VM is ready again", [&] { return gone.is_ready(); });
+			lost_vm.process->start();
+		wait_until("the VM is ready again",
+		    [&] { return lost_vm.is_ready(); });
 		for (const auto &run : runs) {
-			reply_t reply = gone.book(run.first);
-			expect_honest(fleet, run.first, reply);
+			reply_t reply = lost_vm.book(run.first);
+			expect_consistent_run_status(fleet, run.first, reply);
 			if (reply.status == 200) {
 				EXPECT_EQ(reply.number("run"), run.second);
 			}
--- a/tests/system/platform_contract_test.cc
+++ b/tests/system/platform_contract_test.cc
@@ -29,7 +29,7 @@
 
 /* Result codes in addition to the HTTP statuses. */
 const long CLOSED = 0; /* connection closed without an answer */
-const long GAVE_UP = -1; /* the client's time limit expired */
+const long TIMED_OUT = -1; /* the client's time limit expired */
 
 struct Call {
 	const char *method;
@@ -53,7 +53,7 @@
 	reply = harness::call(
 	    call.method, call.url, call.body, headers, call.limit_ms);
 	if (reply.code == CURLE_OPERATION_TIMEDOUT)
-		reply.status = GAVE_UP;
+		reply.status = TIMED_OUT;
 	else if (reply.code != CURLE_OK)
 		reply.status = CLOSED;
 	return reply;
@@ -115,7 +115,7 @@
 	}
 
 	reply_t
-	Ask(const char *method, const std::string &path,
+	Request(const char *method, const std::string &path,
 	    const std::string &body = "", const std::string &header = "",
 	    const char *client = "tester") const
 	{
@@ -125,16 +125,16 @@
 	void
 	Fault(const char *json) const
 	{
-		EXPECT_EQ(204, Ask("POST", "/control/fault", json).status);
+		EXPECT_EQ(204, Request("POST", "/control/fault", json).status);
 	}
 
 	/* Waits until the stand-in's request counts contain this text. */
 	void
-	AwaitCount(const std::string &wanted) const
+	WaitForCount(const std::string &expected) const
 	{
-		wait_until(wanted, [&] {
-			return Ask("GET", "/control/counts")
-				   .body.find(wanted) != std::string::npos;
+		wait_until(expected, [&] {
+			return Request("GET", "/control/counts")
+				   .body.find(expected) != std::string::npos;
 		});
 	}
 
@@ -269,7 +269,7 @@
 	    {"PUT", OBJ "a", "x", "", 503, ""},
 	    {"GET", "/v1/vms", "", "", 503, ""},
 	    {FAULT, "{\"outage\":\"hang\"}", "", 204, ""},
-	    {"PUT", OBJ "a", "x", "", GAVE_UP, "", "tester", 100},
+	    {"PUT", OBJ "a", "x", "", TIMED_OUT, "", "tester", 100},
 	    {FAULT, "{\"outage\":\"none\"}", "", 204, ""},
 	    {"GET", OBJ "a", "", "", 404, ""},
 	    {"GET", "/control/counts", "", "", 200, "\"put\":2"}}},
@@ -368,13 +368,13 @@
 	Platform platform({});
 	reply_t reply = {};
 	std::thread watcher([&] {
-		reply = platform.Ask("GET",
+		reply = platform.Request("GET",
 		    "/v1/watch?prefix=c/&since=0&wait=60000", "", "",
 		    "watcher");
 	});
 
-	platform.AwaitCount("\"watch\":1,");
-	platform.Ask(param.method, param.path, param.body);
+	platform.WaitForCount("\"watch\":1,");
+	platform.Request(param.method, param.path, param.body);
 	watcher.join();
 	EXPECT_EQ(param.status, reply.status);
 	EXPECT_NE(std::string::npos, reply.body.find(param.contains));
@@ -393,13 +393,14 @@
 	reply_t watched = {};
 	reply_t hung = {};
 	std::thread watcher([&] {
-		watched = platform.Ask("GET", "/v1/watch?since=0&wait=60000");
+		watched =
+		    platform.Request("GET", "/v1/watch?since=0&wait=60000");
 	});
 
-	platform.AwaitCount("\"watch\":1,");
+	platform.WaitForCount("\"watch\":1,");
 	platform.Fault("{\"outage\":\"hang\"}");
-	std::thread caller([&] { hung = platform.Ask("GET", "/v1/vms"); });
-	platform.AwaitCount("\"vms\":1,");
+	std::thread caller([&] { hung = platform.Request("GET", "/v1/vms"); });
+	platform.WaitForCount("\"vms\":1,");
 	EXPECT_EQ(0, platform.Stop());
 	watcher.join();
 	caller.join();
@@ -414,7 +415,7 @@
 
 	platform.Fault("{\"delay_ms\":50}");
 	auto before = std::chrono::steady_clock::now();
-	EXPECT_EQ(201, platform.Ask("PUT", OBJ "a", "x").status);
+	EXPECT_EQ(201, platform.Request("PUT", OBJ "a", "x").status);
 	EXPECT_LE(std::chrono::milliseconds(50),
 	    std::chrono::steady_clock::now() - before);
 }
@@ -429,11 +430,11 @@
 	Platform platform({"--write-rate", "0", "--read-rate", "0"});
 	std::vector<std::thread> threads;
 
-	ASSERT_EQ(201, platform.Ask("PUT", OBJ "n", "0", IF_NEW).status);
+	ASSERT_EQ(201, platform.Request("PUT", OBJ "n", "0", IF_NEW).status);
 	for (int i = 0; i < clients; i++)
 		threads.emplace_back([&] {
 			for (int done = 0; done < rounds;) {
-				reply_t read = platform.Ask("GET", OBJ "n");
+				reply_t read = platform.Request("GET", OBJ "n");
 				size_t at = read.headers.find("ETag: ");
 				size_t end = read.headers.find("\r\n", at);
 				std::string etag =
@@ -441,7 +442,7 @@
 				int next = atoi(read.body.c_str()) + 1;
 
 				if (platform
-					.Ask("PUT", OBJ "n",
+					.Request("PUT", OBJ "n",
 					    std::to_string(next),
 					    "If-Match: " + etag)
 					.status == 200)
@@ -451,9 +452,9 @@
 	for (std::thread &thread : threads)
 		thread.join();
 	EXPECT_EQ(std::to_string(clients * rounds),
-	    platform.Ask("GET", OBJ "n").body);
+	    platform.Request("GET", OBJ "n").body);
 	json_t *log = json_loads(
-	    platform.Ask("GET", "/control/log").body.c_str(), 0, nullptr);
+	    platform.Request("GET", "/control/log").body.c_str(), 0, nullptr);
 	ASSERT_EQ(size_t(clients * rounds + 1), json_array_size(log));
 	for (size_t i = 0; i < json_array_size(log); i++)
 		EXPECT_EQ(json_int_t(i + 1),
--- a/tests/system/poison_failure_test.cc
+++ b/tests/system/poison_failure_test.cc
@@ -9,21 +9,21 @@
 namespace
 {
 
-const char POISON[] = "note <<crash>> note";
+const char CRASHING_PROMPT[] = "note <<crash>> note";
 
 size_t
-count_dead(fleet_t &fleet)
+count_crashed(fleet_t &fleet)
 {
-	size_t dead = 0;
+	size_t crashed = 0;
 
 	for (standin_t &engine : fleet.engines)
-		dead += !engine.process->is_alive();
-	return dead;
+		crashed += !engine.process->is_alive();
+	return crashed;
 }
 
 /* Restarts the engines that crashed; the VMs use them again. */
 void
-restart_dead(fleet_t &fleet)
+restart_crashed(fleet_t &fleet)
 {
 	for (standin_t &engine : fleet.engines) {
 		if (!engine.process->is_alive())
@@ -45,27 +45,27 @@
 	options.engines = 5;
 	fleet_t fleet(options);
 	for (int i = 0; i < 12; i++) {
-		reply_t reply = fleet.vms[i % 3]->complete(
-		    POISON, 4, {"Idempotency-Key: try " + std::to_string(i)});
+		reply_t reply = fleet.vms[i % 3]->complete(CRASHING_PROMPT, 4,
+		    {"Idempotency-Key: try " + std::to_string(i)});
 		EXPECT_GE(reply.status, 400) << reply.body;
-		EXPECT_LE(count_dead(fleet), 2u);
+		EXPECT_LE(count_crashed(fleet), 2u);
 	}
 	for (const std::unique_ptr<vm_t> &vm : fleet.vms) {
 		reply_t reply;
 		wait_until(vm->name + " refuses it", [&] {
-			reply = vm->complete(POISON, 4);
+			reply = vm->complete(CRASHING_PROMPT, 4);
 			return reply.text("code") == "quarantined";
 		});
 		EXPECT_EQ(reply.status, 422);
 		EXPECT_EQ(reply.text("run"), "not_run") << reply.body;
 	}
-	EXPECT_LE(count_dead(fleet), 2u);
-	restart_dead(fleet);
+	EXPECT_LE(count_crashed(fleet), 2u);
+	restart_crashed(fleet);
 	for (int i = 0; i < 6; i++) {
-		reply_t reply = fleet.vms[i % 3]->complete(POISON, 4);
+		reply_t reply = fleet.vms[i % 3]->complete(CRASHING_PROMPT, 4);
 		EXPECT_EQ(reply.status, 422) << reply.body;
 	}
-	EXPECT_EQ(count_dead(fleet), 0u);
+	EXPECT_EQ(count_crashed(fleet), 0u);
 }
 
 /*
@@ -84,16 +84,16 @@
 	std::vector<std::future<reply_t>> sent;
 
 	for (const std::unique_ptr<vm_t> &vm : fleet.vms)
-		sent.push_back(vm->complete_later(POISON, 4));
+		sent.push_back(vm->complete_later(CRASHING_PROMPT, 4));
 	for (std::future<reply_t> &later : sent)
 		EXPECT_GE(later.get().status, 400);
-	size_t lost = count_dead(fleet);
+	size_t lost = count_crashed(fleet);
 	printf("engines lost to three requests at once: %zu\n", lost);
 	for (int i = 0; i < 9; i++) {
-		reply_t reply = fleet.vms[i % 3]->complete(POISON, 4);
+		reply_t reply = fleet.vms[i % 3]->complete(CRASHING_PROMPT, 4);
 		EXPECT_EQ(reply.text("code"), "quarantined") << reply.body;
 	}
-	EXPECT_EQ(count_dead(fleet), lost);
+	EXPECT_EQ(count_crashed(fleet), lost);
 	reply_t reply = fleet.vm(0, 0).complete("healthy", 2);
 	EXPECT_TRUE(is_answer_to(reply, "healthy", 2)) << reply.body;
 }
@@ -124,15 +124,15 @@
 		return true;
 	});
 	for (int i = 0; i < 6; i++)
-		fleet.vms[i % 2]->complete(POISON, 4);
-	EXPECT_GT(count_dead(fleet), 0u);
-	EXPECT_LE(count_dead(fleet), 2u);
+		fleet.vms[i % 2]->complete(CRASHING_PROMPT, 4);
+	EXPECT_GT(count_crashed(fleet), 0u);
+	EXPECT_LE(count_crashed(fleet), 2u);
 	for (auto &later : sent) {
 		reply_t reply = later.second.get();
 		EXPECT_TRUE(is_answer_to(reply, later.first, 30))
 		    << later.first << ": " << reply.body;
 	}
-	restart_dead(fleet);
+	restart_crashed(fleet);
 	for (const std::string &prompt : make_prompts("order", 24)) {
 		reply_t reply = fleet.vm(0, 1).complete(prompt, 2);
 		EXPECT_TRUE(is_answer_to(reply, prompt, 2)) << reply.body;
--- a/tests/system/ports.cc
+++ b/tests/system/ports.cc
@@ -23,11 +23,11 @@
 
 /* Below the kernel's ephemeral range, so that no outgoing connection takes the
  * port of a process that is being restarted. */
-constexpr int PORT_LEAST = 10000;
+constexpr int PORT_MIN = 10000;
 constexpr int BLOCKS = 200;
 constexpr int PORTS_PER_BLOCK = 100;
 constexpr int POLL_MS = 20;
-constexpr long LOCK_LIMIT_MS = 60000;
+constexpr long LOCK_TIMEOUT_MS = 60000;
 
 bool
 is_free(int port)
@@ -72,7 +72,7 @@
 {
 	int first = getpid() % BLOCKS;
 
-	for (long waited = 0; waited < LOCK_LIMIT_MS; waited += POLL_MS) {
+	for (long waited = 0; waited < LOCK_TIMEOUT_MS; waited += POLL_MS) {
 		for (int i = 0; i < BLOCKS; i++) {
 			if (try_lock_block((first + i) % BLOCKS))
 				return;
@@ -101,7 +101,7 @@
 		return false;
 	}
 	locks.push_back(fd);
-	next = PORT_LEAST + block * PORTS_PER_BLOCK;
+	next = PORT_MIN + block * PORTS_PER_BLOCK;
 	end = next + PORTS_PER_BLOCK;
 	return true;
 }
