--- a/tests/system/backend_contract_test.cc
+++ b/tests/system/backend_contract_test.cc
@@ -239,7 +239,7 @@
 	}
 }
 
-TEST(EngineContract, ShowsEachFaultAsItsPageSays)
+TEST(EngineContract, InjectsEachFaultAsDocumented)
 {
 	const struct {
 		const char *name;
@@ -333,7 +333,7 @@
 	}
 }
 
-TEST(EngineContract, GoesOnWithAnImportedStream)
+TEST(EngineContract, ResumesAnImportedStream)
 {
 	backend_t from("standin-engine", {"--step-ms=1"});
 	backend_t to("standin-engine", {"--step-ms=1"});
@@ -460,7 +460,7 @@
 	}
 }
 
-TEST(EngineContract, KeepsAndEvictsPrefixesAndTellsOfIt)
+TEST(EngineContract, CachesAndEvictsPrefixesAndReportsEvents)
 {
 	const struct {
 		const char *name;
@@ -563,7 +563,7 @@
 	}
 }
 
-TEST(ServiceContract, RunsACallAndAnswersAsItsFaultSays)
+TEST(ServiceContract, RunsACallAndAnswersWithTheInjectedFault)
 {
 	const struct {
 		const char *name;
--- a/tests/system/batch_failure_test.cc
+++ b/tests/system/batch_failure_test.cc
@@ -166,7 +166,7 @@
  * own earlier write. If the VM mistook that for another VM's write, it would
  * refuse the job or lose a chunk.
  */
-TEST(BatchFailure, LostAnswersOfWritesAreKnownForOnesOwn)
+TEST(BatchFailure, RetriesRecognizeTheirOwnUnansweredWrites)
 {
 	static const struct {
 		const char *name;
--- a/tests/system/config_failure_test.cc
+++ b/tests/system/config_failure_test.cc
@@ -144,7 +144,7 @@
  * older version would undo a change that was reported to the operator as in
  * force.
  */
-TEST(ConfigFailure, NoVmEverGoesBack)
+TEST(ConfigFailure, NoVmRevertsToAnOlderVersion)
 {
 	fleet_t fleet(config_options());
 	std::vector<long> newest(fleet.vms.size(), 0);
@@ -194,7 +194,7 @@
  * late. Meanwhile patches are accepted and reach the VM through its
  * neighbours. If the VM adopted the late answer, it would revert them.
  */
-TEST(ConfigFailure, LateReadNeverTakesAVmBack)
+TEST(ConfigFailure, LateReadNeverRevertsAVm)
 {
 	constexpr long read_delay_ms = 1200; /* below platform.timeout_ms */
 	fleet_t fleet(config_options());
