--- a/tests/system/answer_failure_test.cc
+++ b/tests/system/answer_failure_test.cc
@@ -38,8 +38,8 @@
 std::string
 outcome_of(const standin_t &engine, const std::string &prompt)
 {
-	json_view_t list(engine.query("/records").body);
-	std::string text = expected_text(prompt, 1);
+	json_view_t list(engine.ask("/records").body);
+	std::string text = text_of(prompt, 1);
 	std::string hash = text.substr(3, 8);
 	std::string outcome;
 
@@ -106,10 +106,9 @@
 			    stream_request(prompt, 8));
 			const reply_t &reply = stream.finish();
 			std::string text = streamed_text(reply.body);
-			EXPECT_EQ(expected_text(prompt, 8).rfind(text, 0), 0u)
+			EXPECT_EQ(text_of(prompt, 8).rfind(text, 0), 0u)
 			    << "text of another request: " << reply.body;
-			EXPECT_EQ(
-			    reply.has(DONE), text == expected_text(prompt, 8))
+			EXPECT_EQ(reply.has(DONE), text == text_of(prompt, 8))
 			    << reply.body;
 			EXPECT_TRUE(reply.has(DONE) || reply.status != 200 ||
 			    reply.code != CURLE_OK)
--- a/tests/system/backend_contract_test.cc
+++ b/tests/system/backend_contract_test.cc
@@ -151,7 +151,7 @@
 
 /* The tokens expected for a prompt, from one index up to another. */
 std::string
-expected_text(const std::string &prompt, int from, int to)
+text_of(const std::string &prompt, int from, int to)
 {
 	char token[40];
 	std::string text;
@@ -223,7 +223,7 @@
 		SCOPED_TRACE(c.name);
 		reply_t reply = call("POST", engine.data + c.path, c.body,
 		    {"Jujube-Request: r1"});
-		std::string text = expected_text(c.prompt, 0, c.tokens);
+		std::string text = text_of(c.prompt, 0, c.tokens);
 		EXPECT_EQ(reply.status, 200);
 		EXPECT_EQ(reply.header("Jujube-Request"), "r1");
 		EXPECT_NE(reply.header("Jujube-Stream"), "");
@@ -253,7 +253,7 @@
 	} cases[] = {
 	    {"truncated", "{\"truncate_next\":1}",
 		completion_body("p", 4, true), CURLE_OK, 200, "",
-		expected_text("p", 0, 2), "failed"},
+		text_of("p", 0, 2), "failed"},
 	    {"broken", "{\"break_next\":1}", completion_body("p", 400, true),
 		CURLE_PARTIAL_FILE, 200, "Jujube-Stream", "", "gone"},
 	    {"failed", "{\"fail_share\":1}", completion_body("p", 4, true),
@@ -316,8 +316,8 @@
 	    {"another boot", id, "0123456789abcdef", 1, 409, ""},
 	    {"unknown", "999", boot, 0, 404, ""},
 	    {"ahead of the stream", id, boot, 3, 400, ""},
-	    {"goes on", id, boot, 1, 200, expected_text("p", 1, 4)},
-	    {"was whole already", id, boot, 0, 200, expected_text("p", 0, 4)},
+	    {"goes on", id, boot, 1, 200, text_of("p", 1, 4)},
+	    {"was whole already", id, boot, 0, 200, text_of("p", 0, 4)},
 	    {"only the end", id, boot, 4, 200, ""},
 	};
 
@@ -348,7 +348,7 @@
 	EXPECT_TRUE(put.has("\"position\":2")) << put.body;
 	reply_t reply = call("POST", to.data + "/v1/streams/1/resume",
 	    "{\"boot\":\"" + put.header("Jujube-Boot") + "\",\"from\":2}");
-	EXPECT_EQ(streamed_text(reply.body), expected_text(prompt, 2, 4));
+	EXPECT_EQ(streamed_text(reply.body), text_of(prompt, 2, 4));
 	EXPECT_TRUE(reply.has("\"cached_tokens\":128")) << reply.body;
 	EXPECT_EQ(call("PUT", to.data + "/v1/kv", "{}").status, 400);
 	EXPECT_EQ(call("GET", to.data + "/v1/streams/9/kv").status, 404);
--- a/tests/system/batch_failure_test.cc
+++ b/tests/system/batch_failure_test.cc
@@ -212,11 +212,11 @@
 
 	wait_started(fleet, 20);
 	for (int number : {0, 1})
-		fleet.vm(0, number).process->pause();
+		fleet.vm(0, number).process->freeze();
 	fleet.wait_job(fleet.vm(1, 0), id);
 	std::string before = fleet.vm(1, 0).results(id).body;
 	for (int number : {0, 1})
-		fleet.vm(0, number).process->resume();
+		fleet.vm(0, number).process->thaw();
 	wait_until("the resumed VMs report the job as completed", [&] {
 		return fleet.vm(0, 0).job(id).text("status") == "completed" &&
 		    fleet.vm(0, 1).job(id).text("status") == "completed";
@@ -283,7 +283,7 @@
 	for (const std::string &prompt : prompts)
 		EXPECT_EQ(json_view_t(found[prompt])
 			      .text("response.body.choices.0.text"),
-		    expected_text(prompt, 2));
+		    text_of(prompt, 2));
 	for (const auto &row : {std::make_pair("<<refuse>> fee", "refused"),
 		 std::make_pair("<<hang>> fee", "attempts_used_up")})
 		EXPECT_EQ(json_view_t(found[row.first]).text("error.code"),
@@ -375,7 +375,7 @@
 		return now_ms() - since > quiet_ms;
 	});
 	for (const standin_t &engine : fleet.engines)
-		EXPECT_FALSE(engine.query("/records").has("\"running\""))
+		EXPECT_FALSE(engine.ask("/records").has("\"running\""))
 		    << engine.name << " still runs an item";
 	return started;
 }
@@ -388,9 +388,9 @@
 	std::string records;
 
 	for (const standin_t &engine : fleet.engines)
-		records += engine.query("/records").body;
+		records += engine.ask("/records").body;
 	for (const auto &line : results) {
-		std::string hash = expected_text(line.first, 1).substr(3, 8);
+		std::string hash = text_of(line.first, 1).substr(3, 8);
 		if (json_view_t(line.second).text("error.run") != "not_run")
 			continue;
 		EXPECT_EQ(records.find("\"" + hash + "\""), std::string::npos)
@@ -433,7 +433,7 @@
 			return !before.empty();
 		});
 		if (row.paused)
-			fleet.vm(0, 0).process->pause();
+			fleet.vm(0, 0).process->freeze();
 		if (row.outage) {
 			fleet.platform.fault("{\"outage\":\"refuse\"}");
 			EXPECT_EQ(fleet.vm(1, 0).cancel(id).status, 503);
@@ -442,7 +442,7 @@
 		EXPECT_EQ(fleet.vm(1, 0).cancel(id).status, 200);
 		reply_t job = fleet.wait_job(fleet.vm(1, 1), id, "cancelled");
 		if (row.paused)
-			fleet.vm(0, 0).process->resume();
+			fleet.vm(0, 0).process->thaw();
 		EXPECT_LT(wait_stopped(fleet), 400);
 		std::map<std::string, std::string> found =
 		    read_results(fleet.vm(0, 1).results(id));
--- a/tests/system/config_failure_test.cc
+++ b/tests/system/config_failure_test.cc
@@ -170,7 +170,7 @@
 	long version = 1;
 
 	for (int round = 0; round < 4; round++) {
-		paused_vm.process->pause();
+		paused_vm.process->freeze();
 		if (round % 2 == 1)
 			fleet.platform.fault("{\"watch_gap\":true,"
 					     "\"watch_drop\":2}");
@@ -180,7 +180,7 @@
 			EXPECT_EQ(reply.status, 200) << reply.body;
 			version = reply.number("version");
 		}
-		paused_vm.process->resume();
+		paused_vm.process->thaw();
 		for (const std::unique_ptr<vm_t> &vm : fleet.vms)
 			wait_until(vm->name + " has the newest",
 			    [&] { return vm->version() == version; });
--- a/tests/system/harness.cc
+++ b/tests/system/harness.cc
@@ -415,13 +415,13 @@
 }
 
 void
-process_t::pause()
+process_t::freeze()
 {
 	signal(SIGSTOP);
 }
 
 void
-process_t::resume()
+process_t::thaw()
 {
 	signal(SIGCONT);
 }
@@ -496,7 +496,7 @@
 }
 
 reply_t
-standin_t::query(const std::string &path) const
+standin_t::ask(const std::string &path) const
 {
 	return call("GET", control + path);
 }
@@ -504,7 +504,7 @@
 long
 standin_t::count(const std::string &path) const
 {
-	return query("/counts").number(path);
+	return ask("/counts").number(path);
 }
 
 /* ---- VMs ---- */
@@ -806,7 +806,7 @@
 fleet_t::has_run(const std::string &key) const
 {
 	for (const standin_t &service : services) {
-		if (service.query("/runs").has("\"" + key + "\""))
+		if (service.ask("/runs").has("\"" + key + "\""))
 			return true;
 	}
 	return false;
@@ -908,7 +908,7 @@
 std::string
 fleet_t::describe_writes() const
 {
-	json_view_t log(platform.query("/log?prefix=").body);
+	json_view_t log(platform.ask("/log?prefix=").body);
 	size_t from = log.size() > WRITES_TAIL ? log.size() - WRITES_TAIL : 0;
 	std::string text;
 
@@ -967,7 +967,7 @@
 /* ---- Checks ---- */
 
 std::string
-expected_text(const std::string &prompt, int tokens)
+text_of(const std::string &prompt, int tokens)
 {
 	char token[40];
 	std::string text;
@@ -985,7 +985,7 @@
 is_answer_to(const reply_t &reply, const std::string &prompt, int tokens)
 {
 	return reply.status == 200 &&
-	    reply.text("choices.0.text") == expected_text(prompt, tokens);
+	    reply.text("choices.0.text") == text_of(prompt, tokens);
 }
 
 strings_t
@@ -1023,7 +1023,7 @@
 	for (const std::string &prompt : prompts) {
 		json_view_t line(found[prompt]);
 		EXPECT_EQ(line.text("response.body.choices.0.text"),
-		    expected_text(prompt, tokens))
+		    text_of(prompt, tokens))
 		    << prompt << ": " << found[prompt];
 	}
 }
@@ -1032,7 +1032,7 @@
 expect_written_once(const standin_t &platform, const std::string &id)
 {
 	std::string prefix = "jobs/" + id + "/out/";
-	json_view_t log(platform.query("/log?prefix=" + prefix).body);
+	json_view_t log(platform.ask("/log?prefix=" + prefix).body);
 	std::map<std::string, int> writes;
 
 	for (size_t i = 0; i < log.size(); i++) {
--- a/tests/system/harness.h
+++ b/tests/system/harness.h
@@ -121,8 +121,10 @@
 	process_t(const process_t &) = delete;
 	void start();
 	void kill();
-	void pause();
-	void resume();
+	/* SIGSTOP. */
+	void freeze();
+	/* SIGCONT. */
+	void thaw();
 	void terminate();
 	/* Waits until the process exits; returns the exit status, or -1 after
 	 * a signal. */
@@ -153,7 +155,8 @@
 
 	void start();
 	void fault(const std::string &json) const;
-	reply_t query(const std::string &path) const;
+	/* GET of a path below /control. */
+	reply_t ask(const std::string &path) const;
 	/* A number in the answer of /control/counts. */
 	long count(const std::string &path) const;
 };
@@ -251,7 +254,7 @@
 };
 
 /* The text expected for a prompt. */
-std::string expected_text(const std::string &prompt, int tokens);
+std::string text_of(const std::string &prompt, int tokens);
 /* Whether a reply is the complete answer to this prompt. */
 bool is_answer_to(const reply_t &reply, const std::string &prompt, int tokens);
 strings_t make_prompts(const std::string &name, int count);
--- a/tests/system/once_failure_test.cc
+++ b/tests/system/once_failure_test.cc
@@ -52,7 +52,7 @@
  * third of the 64 slots.
  */
 bool
-wait_all_slots_served(const fleet_t &fleet)
+wait_settled(const fleet_t &fleet)
 {
 	static int round;
 	std::string name = "settled-" + std::to_string(++round) + "-";
@@ -90,7 +90,7 @@
 	long runs = 0;
 
 	for (const standin_t &service : fleet.services) {
-		json_view_t list(service.query("/runs").body);
+		json_view_t list(service.ask("/runs").body);
 		for (size_t i = 0; i < list.size(); i++)
 			runs += list.text(std::to_string(i) + ".key") == key;
 	}
@@ -102,7 +102,7 @@
 find_sender(const fleet_t &fleet, const std::string &key)
 {
 	for (const standin_t &service : fleet.services) {
-		json_view_t list(service.query("/runs").body);
+		json_view_t list(service.ask("/runs").body);
 		for (size_t i = 0; i < list.size(); i++) {
 			std::string at = std::to_string(i);
 			std::string request = list.text(at + ".request");
@@ -152,7 +152,7 @@
 
 	/* Also opens the connections: libcurl resends a request by itself when
 	 * a reused connection breaks before the first byte of the answer. */
-	ASSERT_TRUE(wait_all_slots_served(fleet));
+	ASSERT_TRUE(wait_settled(fleet));
 	for (const char *fault : faults) {
 		SCOPED_TRACE(fault);
 		std::string on = std::string("{\"") + fault + "\":";
@@ -236,7 +236,7 @@
 	const std::string key = "lost-sender";
 	vm_t *sender = nullptr;
 
-	ASSERT_TRUE(wait_all_slots_served(fleet));
+	ASSERT_TRUE(wait_settled(fleet));
 	fault_services(fleet, "{\"delay_ms\":500}");
 	std::future<reply_t> first = fleet.vm(0, 0).book_later(key);
 	wait_until("the call runs", [&] {
@@ -274,7 +274,7 @@
 	fleet_t fleet(once_options(2, 2));
 	int count = 25;
 
-	ASSERT_TRUE(wait_all_slots_served(fleet));
+	ASSERT_TRUE(wait_settled(fleet));
 	fault_services(fleet, "{\"delay_ms\":20}");
 	for (int i = 0; i < count; i++) {
 		std::string key = "at-once-" + std::to_string(i);
@@ -323,7 +323,7 @@
 	for (const auto &row : cases) {
 		SCOPED_TRACE(row.name);
 		std::map<std::string, std::future<reply_t>> sent;
-		ASSERT_TRUE(wait_all_slots_served(fleet));
+		ASSERT_TRUE(wait_settled(fleet));
 		fault_services(fleet, "{\"delay_ms\":100}");
 		for (int i = 0; i < 40; i++) {
 			std::string key =
@@ -355,7 +355,7 @@
 		fleet.cut(fleet.vm(0, 0), fleet.vm(0, 1), false);
 		fleet.cut_domain(0, false);
 		fleet.cut_platform({});
-		ASSERT_TRUE(wait_all_slots_served(fleet));
+		ASSERT_TRUE(wait_settled(fleet));
 		for (const auto &answer : first) {
 			for (const std::unique_ptr<vm_t> &vm : fleet.vms)
 				expect_consistent_run_status(fleet,
@@ -385,14 +385,14 @@
 		fleet_t fleet(once_options(1, 3));
 		vm_t &lost_vm = fleet.vm(0, 0);
 		std::map<std::string, long> runs;
-		ASSERT_TRUE(wait_all_slots_served(fleet));
+		ASSERT_TRUE(wait_settled(fleet));
 		for (int i = 0; i < 60; i++) {
 			std::string key = "kept-" + std::to_string(i);
 			runs[key] = fleet.vms[i % 3]->book(key).number("run");
 			EXPECT_GT(runs[key], 0) << key;
 		}
 		if (row.paused)
-			lost_vm.process->pause();
+			lost_vm.process->freeze();
 		else
 			lost_vm.process->kill();
 		for (const auto &run : runs) {
@@ -405,7 +405,7 @@
 			EXPECT_EQ(reply.number("run"), run.second);
 		}
 		if (row.paused)
-			lost_vm.process->resume();
+			lost_vm.process->thaw();
 		else
 			lost_vm.process->start();
 		wait_until("the VM is ready again",
