--- a/tests/system/backend_contract_test.cc
+++ b/tests/system/backend_contract_test.cc
@@ -1,6 +1,6 @@
 /*
- * The contract of the backend servers' stand-ins, as docs/interfaces/ENGINE.md
- * and SERVICE.md state it. Each case starts processes of its own.
+ * Contract tests of the stand-ins for backend servers, as specified in
+ * docs/interfaces/ENGINE.md and SERVICE.md. Each case starts its own processes.
  */
 #include <unistd.h>
 
@@ -25,7 +25,8 @@
 namespace
 {
 
-/* Sends a request and reads nothing; cleaning up the handle hangs up. */
+/* Sends a request without reading the answer; cleaning up the handle closes
+ * the connection. */
 CURL *
 send_only(
     const std::string &base, const std::string &path, const std::string &body)
@@ -45,8 +46,8 @@
 	return curl;
 }
 
-/* A stand-in's process, killed at the end of its case. Its first line must be
- * the one that names its addresses. */
+/* A stand-in process, killed at the end of its case. Its first log line must
+ * contain its addresses. */
 class backend_t
 {
       public:
@@ -73,7 +74,8 @@
 	}
 	backend_t(const backend_t &) = delete;
 
-	/* A whole line of what was printed, from 0; else empty. */
+	/* A complete line of the log, counted from 0; empty if there is
+	 * none. */
 	std::string
 	line(int number) const
 	{
@@ -108,7 +110,7 @@
 	{
 		return wait_for_url(control + path, part);
 	}
-	/* Asks again until the answer holds a part. */
+	/* Repeats a GET until the body contains a part. */
 	static std::string
 	wait_for_url(const std::string &url, const std::string &part)
 	{
@@ -140,14 +142,14 @@
 };
 
 std::string
-ask(const std::string &prompt, int tokens, bool stream)
+completion_body(const std::string &prompt, int tokens, bool stream)
 {
 	return "{\"prompt\":\"" + prompt +
 	    "\",\"max_tokens\":" + std::to_string(tokens) +
 	    (stream ? ",\"stream\":true}" : "}");
 }
 
-/* The tokens that a prompt has to bring about. */
+/* The tokens expected for a prompt, from one index up to another. */
 std::string
 text_of(const std::string &prompt, int from, int to)
 {
@@ -162,9 +164,9 @@
 	return text;
 }
 
-/* The text in the events of a streamed answer. */
+/* Concatenates the text of all events of a streamed answer. */
 std::string
-text_in(const std::string &events)
+streamed_text(const std::string &events)
 {
 	std::string text;
 	size_t at = 0;
@@ -201,14 +203,15 @@
 		bool stream;
 		const char *reason;
 	} cases[] = {
-	    {"whole", "/v1/completions", ask("a", 3, false), "a", 3, false,
-		"\"length\""},
-	    {"stream", "/v1/completions", ask("a", 3, true), "a", 3, true,
-		"\"length\""},
+	    {"whole", "/v1/completions", completion_body("a", 3, false), "a", 3,
+		false, "\"length\""},
+	    {"stream", "/v1/completions", completion_body("a", 3, true), "a", 3,
+		true, "\"length\""},
 	    {"default length", "/v1/completions", "{\"prompt\":\"a\"}", "a", 16,
 		false, "\"length\""},
-	    {"ends by itself", "/v1/completions", ask("<<stop 2>>", 9, true),
-		"<<stop 2>>", 2, true, "\"stop\""},
+	    {"ends by itself", "/v1/completions",
+		completion_body("<<stop 2>>", 9, true), "<<stop 2>>", 2, true,
+		"\"stop\""},
 	    {"chat", "/v1/chat/completions", chat + "}", "a\nb", 3, false,
 		"\"length\""},
 	    {"chat stream", "/v1/chat/completions", chat + ",\"stream\":true}",
@@ -230,13 +233,13 @@
 		    "\"completion_tokens\":" + std::to_string(c.tokens)));
 		EXPECT_EQ(reply.has(DONE), c.stream);
 		if (c.stream)
-			EXPECT_EQ(text_in(reply.body), text);
+			EXPECT_EQ(streamed_text(reply.body), text);
 		else
 			EXPECT_TRUE(reply.has("\"" + text + "\""));
 	}
 }
 
-TEST(EngineContract, ShowsEachFaultAsItsPageSays)
+TEST(EngineContract, InjectsEachFaultAsDocumented)
 {
 	const struct {
 		const char *name;
@@ -244,24 +247,25 @@
 		std::string body;
 		CURLcode code;
 		long status;
-		const char *shows;
+		const char *contains;
 		std::string text;
 		const char *outcome;
 	} cases[] = {
-	    {"truncated", "{\"truncate_next\":1}", ask("p", 4, true), CURLE_OK,
-		200, "", text_of("p", 0, 2), "failed"},
-	    {"broken", "{\"break_next\":1}", ask("p", 400, true),
+	    {"truncated", "{\"truncate_next\":1}",
+		completion_body("p", 4, true), CURLE_OK, 200, "",
+		text_of("p", 0, 2), "failed"},
+	    {"broken", "{\"break_next\":1}", completion_body("p", 400, true),
 		CURLE_PARTIAL_FILE, 200, "Jujube-Stream", "", "gone"},
-	    {"failed", "{\"fail_share\":1}", ask("p", 4, true), CURLE_OK, 500,
-		"problem+json", "", "failed"},
-	    {"refused", "{\"refuse\":true}", ask("p", 4, true), CURLE_OK, 503,
-		"problem+json", "", nullptr},
-	    {"leaving", "{\"leaving\":true}", ask("p", 4, true), CURLE_OK, 503,
-		"Jujube-Leaving: 1", "", nullptr},
-	    {"for good", "{}", ask("<<refuse>>", 4, true), CURLE_OK, 400,
-		"problem+json", "", nullptr},
-	    {"cut", "{\"cut\":[\"n1\"]}", ask("p", 4, true), CURLE_GOT_NOTHING,
-		0, "", "", nullptr},
+	    {"failed", "{\"fail_share\":1}", completion_body("p", 4, true),
+		CURLE_OK, 500, "problem+json", "", "failed"},
+	    {"refused", "{\"refuse\":true}", completion_body("p", 4, true),
+		CURLE_OK, 503, "problem+json", "", nullptr},
+	    {"leaving", "{\"leaving\":true}", completion_body("p", 4, true),
+		CURLE_OK, 503, "Jujube-Leaving: 1", "", nullptr},
+	    {"for good", "{}", completion_body("<<refuse>>", 4, true), CURLE_OK,
+		400, "problem+json", "", nullptr},
+	    {"cut", "{\"cut\":[\"n1\"]}", completion_body("p", 4, true),
+		CURLE_GOT_NOTHING, 0, "", "", nullptr},
 	    {"malformed", "{}", "{\"prompt\":1}", CURLE_OK, 400, "prompt", "",
 		nullptr},
 	};
@@ -274,9 +278,9 @@
 		    c.body, {"Jujube-Client: n1", "Jujube-Class: batch"});
 		EXPECT_EQ(reply.code, c.code);
 		EXPECT_EQ(reply.status, c.status);
-		EXPECT_TRUE(reply.has(c.shows)) << reply.headers;
+		EXPECT_TRUE(reply.has(c.contains)) << reply.headers;
 		EXPECT_FALSE(reply.has(DONE));
-		EXPECT_EQ(text_in(reply.body), c.text);
+		EXPECT_EQ(streamed_text(reply.body), c.text);
 		if (c.outcome == nullptr) {
 			engine.wait_for("/records", "[]");
 			continue;
@@ -288,16 +292,17 @@
 }
 
 /*
- * A caller's stream is cut off and it asks to go on, but meanwhile the engine
- * was restarted or the stream is unknown. Ids begin anew on each start, so
- * without the boot's check it would be given someone else's text.
+ * A caller's stream is interrupted and the caller asks to resume it, but the
+ * engine was restarted meanwhile or the stream is unknown. Stream ids restart
+ * with each boot, so without the check of the boot id the caller would receive
+ * another caller's text.
  */
 TEST(EngineContract, ResumesOnlyTheSameStream)
 {
 	backend_t engine("standin-engine", {"--step-ms=1"});
 	engine.fault("{\"truncate_next\":1}");
-	reply_t first =
-	    call("POST", engine.data + "/v1/completions", ask("p", 4, true));
+	reply_t first = call("POST", engine.data + "/v1/completions",
+	    completion_body("p", 4, true));
 	std::string id = first.header("Jujube-Stream");
 	std::string boot = first.header("Jujube-Boot");
 	const struct {
@@ -323,36 +328,37 @@
 		    "{\"boot\":\"" + c.boot +
 			"\",\"from\":" + std::to_string(c.from) + "}");
 		EXPECT_EQ(reply.status, c.status);
-		EXPECT_EQ(text_in(reply.body), c.text);
+		EXPECT_EQ(streamed_text(reply.body), c.text);
 		EXPECT_EQ(reply.has(DONE), c.status == 200);
 	}
 }
 
-TEST(EngineContract, GoesOnWithAnImportedStream)
+TEST(EngineContract, ResumesAnImportedStream)
 {
 	backend_t from("standin-engine", {"--step-ms=1"});
 	backend_t to("standin-engine", {"--step-ms=1"});
 	std::string prompt(600, 'x');
 
 	from.fault("{\"truncate_next\":1}");
-	call("POST", from.data + "/v1/completions", ask(prompt, 4, true));
+	call("POST", from.data + "/v1/completions",
+	    completion_body(prompt, 4, true));
 	reply_t blob = call("GET", from.data + "/v1/streams/1/kv");
 	reply_t put = call("PUT", to.data + "/v1/kv", blob.body);
 	EXPECT_TRUE(put.has("\"stream\":\"1\"")) << put.body;
 	EXPECT_TRUE(put.has("\"position\":2")) << put.body;
 	reply_t reply = call("POST", to.data + "/v1/streams/1/resume",
 	    "{\"boot\":\"" + put.header("Jujube-Boot") + "\",\"from\":2}");
-	EXPECT_EQ(text_in(reply.body), text_of(prompt, 2, 4));
+	EXPECT_EQ(streamed_text(reply.body), text_of(prompt, 2, 4));
 	EXPECT_TRUE(reply.has("\"cached_tokens\":128")) << reply.body;
 	EXPECT_EQ(call("PUT", to.data + "/v1/kv", "{}").status, 400);
 	EXPECT_EQ(call("GET", to.data + "/v1/streams/9/kv").status, 404);
 }
 
 /*
- * An engine has one slot, and the caller of the stream in it hangs up. The
- * next request must get the slot, also when the lost stream has nothing to
- * write by which the loss would show; else one lost caller takes the engine
- * out of service for good.
+ * An engine has one slot, and the caller of the stream in it disconnects. The
+ * next request must get the slot, even when the lost stream writes nothing, so
+ * that no failed write shows the loss. Otherwise one disconnected caller would
+ * block the engine permanently.
  */
 TEST(EngineContract, FreesTheSlotOfALostCaller)
 {
@@ -360,9 +366,9 @@
 		const char *name;
 		std::string body;
 	} cases[] = {
-	    {"stream with tokens", ask("p", 100000, true)},
-	    {"stream without a token", ask("<<hang>>", 1, true)},
-	    {"whole answer", ask("<<hang>>", 1, false)},
+	    {"stream with tokens", completion_body("p", 100000, true)},
+	    {"stream without a token", completion_body("<<hang>>", 1, true)},
+	    {"whole answer", completion_body("<<hang>>", 1, false)},
 	};
 
 	for (const auto &c : cases) {
@@ -372,7 +378,7 @@
 		engine.wait_for("/records", "\"outcome\":\"running\"");
 		curl_easy_cleanup(lost);
 		reply_t next = call("POST", engine.data + "/v1/completions",
-		    ask("next", 1, false));
+		    completion_body("next", 1, false));
 		EXPECT_EQ(next.status, 200);
 		engine.wait_for("/records", "\"outcome\":\"gone\"");
 	}
@@ -393,7 +399,7 @@
 		reply_t first;
 		std::thread caller([&] {
 			first = call("POST", engine.data + "/v1/completions",
-			    ask("<<hang>>", 1, c.stream));
+			    completion_body("<<hang>>", 1, c.stream));
 		});
 		engine.wait_for("/records", "\"outcome\":\"running\"");
 		EXPECT_TRUE(call("POST", cancel).has("\"cancelled\":true"));
@@ -402,16 +408,16 @@
 		EXPECT_EQ(first.status, c.status);
 		EXPECT_FALSE(first.has(DONE));
 		reply_t next = call("POST", engine.data + "/v1/completions",
-		    ask("next", 1, false));
+		    completion_body("next", 1, false));
 		EXPECT_EQ(next.status, 200);
 		engine.wait_for("/records", "\"outcome\":\"cancelled\"");
 	}
 }
 
 /*
- * Two VMs both believe that they direct the engine, and an order is sent
- * again as its answer was lost. An engine that checks the fence refuses the
- * older one; a repeated order must not run twice on either kind.
+ * Two VMs both act as the engine's controller, and an order is resent because
+ * its answer was lost. An engine that checks fences refuses the order with the
+ * older one. A resent order must not run twice, with or without the check.
  */
 TEST(EngineContract, TakesOrders)
 {
@@ -454,7 +460,7 @@
 	}
 }
 
-TEST(EngineContract, KeepsAndEvictsPrefixesAndTellsOfIt)
+TEST(EngineContract, CachesAndEvictsPrefixesAndReportsEvents)
 {
 	const struct {
 		const char *name;
@@ -471,13 +477,13 @@
 		    {"--cache-blocks=2", "--step-ms=1", "--event-lag-ms=0",
 			c.gap});
 		std::string url = engine.data + "/v1/completions";
-		EXPECT_TRUE(call("POST", url, ask(a, 1, false))
+		EXPECT_TRUE(call("POST", url, completion_body(a, 1, false))
 				.has("\"cached_tokens\":0"));
-		EXPECT_TRUE(call("POST", url, ask(a, 1, false))
+		EXPECT_TRUE(call("POST", url, completion_body(a, 1, false))
 				.has("\"cached_tokens\":128"));
-		EXPECT_TRUE(call("POST", url, ask(b, 1, false))
+		EXPECT_TRUE(call("POST", url, completion_body(b, 1, false))
 				.has("\"cached_tokens\":0"));
-		EXPECT_TRUE(call("POST", url, ask(a, 1, false))
+		EXPECT_TRUE(call("POST", url, completion_body(a, 1, false))
 				.has("\"cached_tokens\":0"));
 		reply_t events =
 		    call("GET", engine.data + "/cache/events?since=0");
@@ -487,9 +493,10 @@
 }
 
 /*
- * An engine is stopped as planned while callers are answered and others wait
- * in its queue. Steps are longer than the looks at whether a caller is still
- * there, so that an answer given up by the stop would show.
+ * An engine is stopped gracefully while some requests run and others wait in
+ * its queue. A step takes longer than the interval of the checks whether the
+ * caller is still connected, so that an answer abandoned by the stop would
+ * fail the test.
  */
 TEST(EngineContract, RunsAtMostItsSlotsAndFinishesBeforeItEnds)
 {
@@ -502,7 +509,7 @@
 		callers.emplace_back([&replies, &engine, i] {
 			replies[i] =
 			    call("POST", engine.data + "/v1/completions",
-				ask("p", 4, i % 2 == 0));
+				completion_body("p", 4, i % 2 == 0));
 		});
 	}
 	engine.wait_for_url(
@@ -522,8 +529,10 @@
 	std::vector<std::thread> callers;
 
 	for (int i = 0; i < 2; i++) {
-		callers.emplace_back(
-		    [&] { call("POST", url, ask("<<hang>>", 1, false)); });
+		callers.emplace_back([&] {
+			call(
+			    "POST", url, completion_body("<<hang>>", 1, false));
+		});
 	}
 	engine.wait_for_url(engine.data + "/load", "\"running\":2");
 	engine.fault("{\"load_frozen\":true}");
@@ -531,8 +540,10 @@
 		call("POST", engine.data + "/v1/streams/" + id + "/cancel");
 	for (std::thread &caller : callers)
 		caller.join();
-	/* Once this is answered, a live report would have been renewed. */
-	EXPECT_EQ(call("POST", url, ask("next", 1, false)).status, 200);
+	/* By the time this is answered, the load report would have been
+	 * refreshed if it were not frozen. */
+	EXPECT_EQ(
+	    call("POST", url, completion_body("next", 1, false)).status, 200);
 	EXPECT_TRUE(call("GET", engine.data + "/load").has("\"running\":2"));
 	engine.fault("{\"load_frozen\":false}");
 	engine.wait_for_url(engine.data + "/load", "\"running\":0");
@@ -544,7 +555,7 @@
 		backend_t engine("standin-engine",
 		    crashes ? strings_t{} : strings_t{"--no-crash"});
 		reply_t reply = call("POST", engine.data + "/v1/completions",
-		    ask("<<crash>>", 1, false));
+		    completion_body("<<crash>>", 1, false));
 		EXPECT_EQ(reply.status, crashes ? 0 : 200);
 		if (crashes) {
 			EXPECT_EQ(engine.wait_exit(), 1);
@@ -552,7 +563,7 @@
 	}
 }
 
-TEST(ServiceContract, RunsACallAndAnswersAsItsFaultSays)
+TEST(ServiceContract, RunsACallAndAnswersWithTheInjectedFault)
 {
 	const struct {
 		const char *name;
--- a/tests/system/config_failure_test.cc
+++ b/tests/system/config_failure_test.cc
@@ -1,7 +1,7 @@
 /*
  * Failures around the configuration: operators never overwrite each other,
- * an accepted version is in force everywhere within seconds, and no VM ever
- * goes back.
+ * an accepted version is in force at all VMs within seconds, and no VM ever
+ * reverts to an older version.
  */
 #include "tests/system/harness.h"
 
@@ -28,9 +28,10 @@
 }
 
 /*
- * Two operators have read the same version and patch it at two VMs at once.
- * One must be told the current version; had both been applied, the first
- * one's change would be gone and nobody would know.
+ * Several operators have read the same version and patch it at different VMs
+ * at the same time. One patch is applied; the others must be refused with the
+ * current version. If two were applied, the second would silently overwrite
+ * the first.
  */
 TEST(ConfigFailure, TwoOperatorsNeverOverwriteEachOther)
 {
@@ -65,15 +66,15 @@
 }
 
 /*
- * A patch is applied, but its answers are lost, and the operator sends it
- * again, through another VM too. Applied twice, or told as a conflict with
- * itself, it would make the operator undo what is in force.
+ * A patch is applied, but its answers are lost, and the operator resends it,
+ * also through other VMs. If it were applied twice, or refused as a conflict
+ * with itself, the operator might revert a change that is in force.
  */
 TEST(ConfigFailure, ResentPatchIsAppliedOnce)
 {
 	static const struct {
 		const char *name;
-		int lost; /* answers of the platform */
+		int lost; /* number of lost platform answers */
 	} cases[] = {{"resent", 0}, {"one lost", 1}, {"three lost", 3}};
 	fleet_t fleet(config_options());
 
@@ -98,9 +99,8 @@
 }
 
 /*
- * An operator mistypes a field. The answer must name the field, the value and
- * the bound, and nothing may change: half of a patch in force is worse than
- * none.
+ * An operator sends an invalid patch. The error must name the field, the value
+ * and the bound, and no part of the patch may be applied.
  */
 TEST(ConfigFailure, InvalidPatchNamesItsFaultAndChangesNothing)
 {
@@ -139,11 +139,12 @@
 }
 
 /*
- * A VM is frozen while patches are accepted, or cut off from the platform,
- * and comes back with its old belief. Serving by an old version again would
- * undo a change that the operator was told is in force.
+ * A VM is paused while patches are accepted, in some rounds with gaps in the
+ * platform's watch, and resumes with an outdated version. Reverting to an
+ * older version would undo a change that was reported to the operator as in
+ * force.
  */
-TEST(ConfigFailure, NoVmEverGoesBack)
+TEST(ConfigFailure, NoVmRevertsToAnOlderVersion)
 {
 	fleet_t fleet(config_options());
 	std::vector<long> newest(fleet.vms.size(), 0);
@@ -159,16 +160,17 @@
 				long version =
 				    atol(reply.header("ETag").c_str() + 1);
 				EXPECT_GE(version, newest[i])
-				    << fleet.vms[i]->name << " went back";
+				    << fleet.vms[i]->name
+				    << " reverted to an older version";
 				newest[i] = version;
 			}
 		}
 	});
-	vm_t &frozen = fleet.vm(0, 1);
+	vm_t &paused_vm = fleet.vm(0, 1);
 	long version = 1;
 
 	for (int round = 0; round < 4; round++) {
-		frozen.process->freeze();
+		paused_vm.process->freeze();
 		if (round % 2 == 1)
 			fleet.platform.fault("{\"watch_gap\":true,"
 					     "\"watch_drop\":2}");
@@ -178,7 +180,7 @@
 			EXPECT_EQ(reply.status, 200) << reply.body;
 			version = reply.number("version");
 		}
-		frozen.process->thaw();
+		paused_vm.process->thaw();
 		for (const std::unique_ptr<vm_t> &vm : fleet.vms)
 			wait_until(vm->name + " has the newest",
 			    [&] { return vm->version() == version; });
@@ -188,25 +190,25 @@
 }
 
 /*
- * A VM that was replaced reads the configuration, and the platform's answer
- * takes its time; meanwhile patches are accepted and reach the VM through
- * its neighbours. Taken for the newest, the late answer would undo them
- * there.
+ * A VM that was replaced reads the configuration, and the platform answers
+ * late. Meanwhile patches are accepted and reach the VM through its
+ * neighbours. If the VM adopted the late answer, it would revert them.
  */
-TEST(ConfigFailure, LateReadNeverTakesAVmBack)
+TEST(ConfigFailure, LateReadNeverRevertsAVm)
 {
-	constexpr long late_ms = 1200; /* below platform.timeout_ms */
+	constexpr long read_delay_ms = 1200; /* below platform.timeout_ms */
 	fleet_t fleet(config_options());
 	vm_t &slow = fleet.vm(0, 1);
 	long reads = fleet.platform.count("by_prefix.config/.get");
 	long version = 1;
 
-	fleet.platform.fault("{\"delay_ms\":" + std::to_string(late_ms) + "}");
+	fleet.platform.fault(
+	    "{\"delay_ms\":" + std::to_string(read_delay_ms) + "}");
 	fleet.replace(slow);
 	wait_until("the VM reads at the platform", [&] {
 		return fleet.platform.count("by_prefix.config/.get") > reads;
 	});
-	long due = now_ms() + late_ms + late_ms / 4;
+	long due = now_ms() + read_delay_ms + read_delay_ms / 4;
 	fleet.platform.fault("{\"delay_ms\":0}");
 	for (int i = 0; i < 3; i++) {
 		reply_t reply =
@@ -218,13 +220,14 @@
 	    "the VM has the newest", [&] { return slow.version() == version; });
 	EXPECT_LT(now_ms(), due) << "the answer was not late";
 	while (now_ms() < due)
-		ASSERT_EQ(slow.version(), version) << "it went back";
+		ASSERT_EQ(slow.version(), version)
+		    << "the VM reverted to an older version";
 }
 
 /*
- * A VM starts, or is replaced, while the platform is out. Without a
- * neighbour's word it could serve nobody until the outage ends; and what it
- * learns must be the newest, also from a neighbour that is behind.
+ * A VM starts or is replaced while the platform is unavailable. Unless it gets
+ * the configuration from its neighbours, it can't serve until the outage ends.
+ * It must get the newest version, even if one neighbour is behind.
  */
 TEST(ConfigFailure, VmStartedInAnOutageLearnsFromItsNeighbours)
 {
@@ -251,9 +254,9 @@
 }
 
 /*
- * An operator is told that a change is in force; some VMs are cut off from
- * the platform at that time. As long as one neighbour has it, they must have
- * it within three seconds. The time is measured at the last VM.
+ * A change is accepted while some VMs are disconnected from the platform. As
+ * long as one neighbour has the change, these VMs must have it within three
+ * seconds. The time is measured at the last VM.
  */
 TEST(ConfigFailure, InForceEverywhereAlsoBehindACut)
 {
--- a/tests/system/harness.cc
+++ b/tests/system/harness.cc
@@ -1,5 +1,5 @@
 /*
- * Starts, steers and ends the processes of the failure tests.
+ * Starts, controls and stops the processes of the failure tests.
  */
 #include <fcntl.h>
 #include <poll.h>
@@ -34,12 +34,13 @@
 constexpr size_t LOG_TAIL = 4000;
 constexpr size_t WRITES_TAIL = 60;
 
-/* The children alive, for the handler of a crash of the tests. */
+/* Pids of running child processes, killed by the signal handler. */
 std::atomic<pid_t> children[CHILDREN_MAX];
 
-/* Children would outlive a test that crashes or is stopped. */
+/* Signal handler: without it, child processes would outlive a test program that
+ * crashes or is stopped. */
 void
-end_children(int number)
+kill_children(int number)
 {
 	for (std::atomic<pid_t> &child : children) {
 		if (child > 0)
@@ -50,13 +51,13 @@
 }
 
 void
-remember_child(pid_t pid)
+register_child(pid_t pid)
 {
 	static std::once_flag once;
 
 	std::call_once(once, [] {
 		for (int number : {SIGTERM, SIGINT, SIGABRT, SIGSEGV})
-			signal(number, end_children);
+			signal(number, kill_children);
 	});
 	for (std::atomic<pid_t> &child : children) {
 		pid_t none = 0;
@@ -66,7 +67,7 @@
 }
 
 void
-forget_child(pid_t pid)
+unregister_child(pid_t pid)
 {
 	for (std::atomic<pid_t> &child : children) {
 		pid_t found = pid;
@@ -113,7 +114,7 @@
 }
 
 std::string
-quote_prompt(const std::string &prompt, int tokens)
+completion_body(const std::string &prompt, int tokens)
 {
 	return "{\"model\":\"narrador\",\"prompt\":\"" + prompt +
 	    "\",\"max_tokens\":" + std::to_string(tokens) + "}";
@@ -257,7 +258,7 @@
 }
 
 std::string
-stream_t::seen() const
+stream_t::received() const
 {
 	std::lock_guard<std::mutex> guard(lock);
 
@@ -290,13 +291,13 @@
 	CURL *curl = curl_easy_init();
 	curl_slist *list = prepare(curl, url, headers);
 
-	curl_easy_setopt(curl, CURLOPT_SOCKOPTFUNCTION, narrow);
+	curl_easy_setopt(curl, CURLOPT_SOCKOPTFUNCTION, shrink_receive_buffer);
 	curl_easy_setopt(curl, CURLOPT_POSTFIELDS, body.c_str());
 	curl_easy_setopt(curl, CURLOPT_HEADERDATA, &reply.headers);
-	curl_easy_setopt(curl, CURLOPT_WRITEFUNCTION, take);
+	curl_easy_setopt(curl, CURLOPT_WRITEFUNCTION, on_data);
 	curl_easy_setopt(curl, CURLOPT_WRITEDATA, this);
 	curl_easy_setopt(curl, CURLOPT_NOPROGRESS, 0L);
-	curl_easy_setopt(curl, CURLOPT_XFERINFOFUNCTION, look);
+	curl_easy_setopt(curl, CURLOPT_XFERINFOFUNCTION, on_progress);
 	curl_easy_setopt(curl, CURLOPT_XFERINFODATA, this);
 	reply.code = curl_easy_perform(curl);
 	curl_easy_getinfo(curl, CURLINFO_RESPONSE_CODE, &reply.status);
@@ -306,7 +307,7 @@
 }
 
 size_t
-stream_t::take(char *data, size_t size, size_t count, void *ctx)
+stream_t::on_data(char *data, size_t size, size_t count, void *ctx)
 {
 	stream_t *stream = static_cast<stream_t *>(ctx);
 
@@ -317,9 +318,10 @@
 	return size * count;
 }
 
-/* A wide window would hide for long that nobody reads. */
+/* With a large receive buffer, the sender would not notice for a long time that
+ * the caller doesn't read. */
 int
-stream_t::narrow(void *, curl_socket_t fd, curlsocktype)
+stream_t::shrink_receive_buffer(void *, curl_socket_t fd, curlsocktype)
 {
 	int size = 4096;
 
@@ -328,7 +330,7 @@
 }
 
 int
-stream_t::look(void *ctx, curl_off_t, curl_off_t, curl_off_t, curl_off_t)
+stream_t::on_progress(void *ctx, curl_off_t, curl_off_t, curl_off_t, curl_off_t)
 {
 	return static_cast<stream_t *>(ctx)->stop ? 1 : 0;
 }
@@ -341,9 +343,9 @@
 	    .count();
 }
 
-/* How many times longer to wait: instrumented programs run slowly. */
+/* Factor applied to time limits, since instrumented programs run slowly. */
 static long
-patience()
+time_limit_factor()
 {
 	const char *text = getenv("JUJUBE_PATIENCE");
 
@@ -351,14 +353,15 @@
 }
 
 bool
-wait_until(
-    const std::string &what, const std::function<bool()> &holds, long limit_ms)
+wait_until(const std::string &what, const std::function<bool()> &condition,
+    long limit_ms)
 {
-	long until = now_ms() + limit_ms * patience();
+	long until = now_ms() + limit_ms * time_limit_factor();
 
-	while (!holds()) {
+	while (!condition()) {
 		if (now_ms() >= until) {
-			ADD_FAILURE() << "never seen: " << what;
+			ADD_FAILURE()
+			    << "not reached within the time limit: " << what;
 			return false;
 		}
 		poll(nullptr, 0, POLL_MS);
@@ -401,7 +404,7 @@
 	    0)
 	    << program;
 	posix_spawn_file_actions_destroy(&actions);
-	remember_child(pid);
+	register_child(pid);
 }
 
 void
@@ -465,7 +468,7 @@
 	if (pid <= 0 || waitpid(pid, &value, flags) != pid)
 		return;
 	status = WIFEXITED(value) ? WEXITSTATUS(value) : -1;
-	forget_child(pid);
+	unregister_child(pid);
 	pid = -1;
 }
 
@@ -537,7 +540,7 @@
     const std::string &prompt, int tokens, const strings_t &headers) const
 {
 	return call("POST", callers + "/v1/completions",
-	    quote_prompt(prompt, tokens), headers);
+	    completion_body(prompt, tokens), headers);
 }
 
 std::future<reply_t>
@@ -545,7 +548,7 @@
     const std::string &prompt, int tokens, const strings_t &headers) const
 {
 	return call_later("POST", callers + "/v1/completions",
-	    quote_prompt(prompt, tokens), headers);
+	    completion_body(prompt, tokens), headers);
 }
 
 reply_t
@@ -573,7 +576,7 @@
 		lines += "{\"custom_id\":\"" + prompt +
 		    "\",\"method\":\"POST\",\"url\":\"/v1/completions\","
 		    "\"body\":" +
-		    quote_prompt(prompt, tokens) + "}\n";
+		    completion_body(prompt, tokens) + "}\n";
 	}
 	reply = call("POST", callers + "/v1/files", lines);
 	EXPECT_EQ(reply.status, 200) << reply.body;
@@ -614,7 +617,7 @@
 
 /* ---- The fleet ---- */
 
-fleet_t::fleet_t(const fleet_options_t &wanted) : options(wanted)
+fleet_t::fleet_t(const fleet_options_t &requested) : options(requested)
 {
 	char path[] = "/tmp/jujube-test-XXXXXX";
 
@@ -629,15 +632,15 @@
 	list_leaving({});
 	for (const std::unique_ptr<vm_t> &vm : vms) {
 		std::ofstream(folder + "/" + vm->name + ".toml", std::ios::app)
-		    << describe_seeds(vm->domain);
+		    << describe_static_peers(vm->domain);
 		vm->process->start();
 	}
-	wait_until("the first configuration is taken", [this] {
+	wait_until("the first configuration is accepted", [this] {
 		return vms[0]->patch(0, describe_config()).status == 200 ||
 		    vms[0]->version() > 0;
 	});
 	wait_ready();
-	wait_acquainted();
+	wait_members_live();
 }
 
 fleet_t::~fleet_t()
@@ -743,22 +746,24 @@
 	}
 }
 
-/* VMs that have not heard of each other share nothing yet. */
+/* Until VMs have received each other's heartbeats, they share no state. */
 void
-fleet_t::wait_acquainted() const
+fleet_t::wait_members_live() const
 {
 	for (const std::unique_ptr<vm_t> &vm : vms) {
-		wait_until(vm->name + " knows its domain's VMs", [this, &vm] {
-			json_view_t status(
-			    call("GET", vm->operators + "/v1/status").body);
-			int live = 1;
-			for (size_t i = 0; i < status.size("vms"); i++) {
-				std::string at = "vms." + std::to_string(i);
-				live += status.is_true(at + ".live") &&
-				    status.text(at + ".domain") == vm->domain;
-			}
-			return live == options.vms;
-		});
+		wait_until(vm->name + " sees all VMs of its domain as live",
+		    [this, &vm] {
+			    json_view_t status(
+				call("GET", vm->operators + "/v1/status").body);
+			    int live = 1;
+			    for (size_t i = 0; i < status.size("vms"); i++) {
+				    std::string at = "vms." + std::to_string(i);
+				    live += status.is_true(at + ".live") &&
+					status.text(at + ".domain") ==
+					    vm->domain;
+			    }
+			    return live == options.vms;
+		    });
 	}
 }
 
@@ -874,9 +879,10 @@
 	vms.push_back(std::move(vm));
 }
 
-/* What a VM can know without the platform, as in the examples. */
+/* Static neighbours and backend servers, which a VM can use without the
+ * platform; as in the examples. */
 std::string
-fleet_t::describe_seeds(const std::string &domain) const
+fleet_t::describe_static_peers(const std::string &domain) const
 {
 	std::string text;
 
@@ -898,7 +904,7 @@
 	return text;
 }
 
-/* The last writes the platform has taken, one a line. */
+/* The last writes that the platform accepted, one per line. */
 std::string
 fleet_t::describe_writes() const
 {
--- a/tests/system/leave_failure_test.cc
+++ b/tests/system/leave_failure_test.cc
@@ -1,6 +1,6 @@
 /*
- * What leaves, leaves without harm: a backend server gets no new work, and a
- * VM's planned stop cuts off no request in progress.
+ * Planned stops: a leaving backend server gets no new requests, and the
+ * graceful stop of a VM interrupts no request in progress.
  */
 #include "tests/system/harness.h"
 
@@ -9,7 +9,7 @@
 namespace
 {
 
-/* Whether a VM would still give a server work. */
+/* Whether a VM would still send new requests to a server. */
 bool
 takes_work(const vm_t &vm, const std::string &server)
 {
@@ -24,15 +24,15 @@
 }
 
 /*
- * An engine leaves for its replacement. The platform's list is late, or the
- * engine itself says nothing and only the list knows. Orders sent to it
- * after that would be cut off with it at the end.
+ * An engine is about to be replaced. Either it refuses requests as leaving
+ * before the platform's list shows that, or only the list shows it. Requests
+ * sent to it afterwards would be lost when it stops.
  */
 TEST(LeaveFailure, LeavingServerGetsNoNewWork)
 {
 	static const struct {
 		const char *name;
-		bool refuses; /* else the platform's list says it */
+		bool refuses; /* else the platform lists it as leaving */
 	} cases[] = {{"by its own refusals", true}, {"by the list", false}};
 
 	for (const auto &row : cases) {
@@ -58,22 +58,22 @@
 			engine.fault("{\"leaving\":true}");
 		else
 			fleet.list_leaving({engine.name});
-		long told = now_ms();
+		long requested_ms = now_ms();
 		serve("meanwhile ");
 		for (const std::unique_ptr<vm_t> &vm : fleet.vms)
-			wait_until(vm->name + " gives it no more work",
+			wait_until(vm->name + " sends it no new requests",
 			    [&] { return !takes_work(*vm, engine.name); });
 		printf("%s: no new work after %ld ms\n", row.name,
-		    now_ms() - told);
+		    now_ms() - requested_ms);
 		long started = engine.count("started");
 		serve("after ");
 		EXPECT_EQ(engine.count("started"), started);
 	}
 }
 
-/* What is in progress at a VM when it is stopped. */
+/* The requests in progress at a VM when it is stopped. */
 struct load_t {
-	std::map<std::string, std::future<reply_t>> whole;
+	std::map<std::string, std::future<reply_t>> unstreamed;
 	std::vector<std::unique_ptr<stream_t>> streams;
 	std::future<reply_t> booking;
 	strings_t prompts = make_prompts("item", 60);
@@ -87,7 +87,7 @@
 	wait_until(
 	    "calls run", [&vm] { return vm.book("warm").status == 200; });
 	for (const std::string &prompt : make_prompts("whole", 6)) {
-		load.whole[prompt] = vm.complete_later(prompt, 60);
+		load.unstreamed[prompt] = vm.complete_later(prompt, 60);
 		load.streams.push_back(
 		    std::make_unique<stream_t>(vm.callers + "/v1/completions",
 			"{\"model\":\"narrador\",\"prompt\":\"s\","
@@ -97,16 +97,17 @@
 	load.booking = vm.book_later("in-progress");
 	for (const std::unique_ptr<stream_t> &stream : load.streams)
 		wait_until("a stream runs",
-		    [&stream] { return stream->seen().size() > 0; });
+		    [&stream] { return stream->received().size() > 0; });
 	wait_until("the booking runs",
 	    [&fleet] { return fleet.has_run("in-progress"); });
 }
 
-/* All that was in progress ends whole; returns the booking's answer. */
+/* Checks that all requests in progress get complete answers; returns the answer
+ * to the booking. */
 reply_t
-expect_whole(load_t &load)
+expect_all_complete(load_t &load)
 {
-	for (auto &later : load.whole) {
+	for (auto &later : load.unstreamed) {
 		reply_t reply = later.second.get();
 		EXPECT_TRUE(is_answer_to(reply, later.first, 60))
 		    << reply.status << reply.body;
@@ -121,9 +122,10 @@
 	return booked;
 }
 
-/* A request that comes too late is turned away by an honest word. */
+/* A request that arrives after the stop began is either served or refused as
+ * not run, with a Retry-After header. */
 void
-expect_turned_away(const vm_t &vm)
+expect_served_or_refused(const vm_t &vm)
 {
 	reply_t late = vm.complete("late", 2);
 
@@ -137,16 +139,16 @@
 }
 
 /*
- * A VM is stopped for its replacement in the middle of the night's load:
- * streams and whole answers in progress, a booking at its server, chunks of
- * a job. Each must end as if nothing had happened, new requests must be
- * turned away with an honest word, and the stop must end.
+ * A VM is stopped for its replacement under load: streams and unstreamed
+ * answers in progress, a booking at its server, chunks of a job. All of them
+ * must complete, new requests must be refused as not run, and the process must
+ * exit.
  */
 TEST(LeaveFailure, PlannedStopCutsNoRequestOff)
 {
 	static const struct {
 		const char *name;
-		bool drained; /* by an operator's call, else by SIGTERM */
+		bool drained; /* by an operator's request, else by SIGTERM */
 	} cases[] = {{"SIGTERM", false}, {"drain", true}};
 
 	for (const auto &row : cases) {
@@ -165,22 +167,23 @@
 			call("POST", vm.operators + "/v1/drain");
 		else
 			vm.process->terminate();
-		long told = now_ms();
-		expect_turned_away(vm);
-		reply_t booked = expect_whole(load);
+		long requested_ms = now_ms();
+		expect_served_or_refused(vm);
+		reply_t booked = expect_all_complete(load);
 		EXPECT_EQ(vm.process->wait_exit(), 0);
-		printf("%s: ended after %ld ms\n", row.name, now_ms() - told);
+		printf("%s: ended after %ld ms\n", row.name,
+		    now_ms() - requested_ms);
 		EXPECT_EQ(vm.process->log_text().find("stop_forced"),
 		    std::string::npos);
 		fleet.services[0].fault("{\"delay_ms\":0}");
 		reply_t again;
-		wait_until("the booking is known elsewhere", [&] {
+		wait_until("the other VM has the booking's answer", [&] {
 			again = fleet.vm(0, 1).book("in-progress");
 			return again.status == 200;
 		});
 		EXPECT_EQ(again.number("run"), booked.number("run"));
 		fleet.wait_job(fleet.vm(0, 1), load.job);
-		printf("its job ended after %ld ms\n", now_ms() - told);
+		printf("its job ended after %ld ms\n", now_ms() - requested_ms);
 		expect_results(
 		    fleet.vm(0, 1).results(load.job), load.prompts, 6);
 		EXPECT_EQ(fleet.runs("doubled"), 0);
--- a/tests/system/once_failure_test.cc
+++ b/tests/system/once_failure_test.cc
@@ -1,6 +1,6 @@
 /*
- * Failures of calls that may not be repeated: each runs at most once, and
- * nobody is told "not run" of a call that ran.
+ * Failures of non-idempotent calls: each runs at most once, and a call that
+ * ran is never reported as "not run".
  */
 #include <algorithm>
 
@@ -27,28 +27,29 @@
 	return options;
 }
 
-/* Slots of a domain's ledger: JJ_LEDGER_SLOTS. */
-constexpr size_t SLOTS = 64;
+/* Key slots of a domain's ledger: JJ_LEDGER_SLOTS. */
+constexpr size_t KEY_SLOTS = 64;
 
-/* Slots that this VM holds as their home, with a witness that is synced. */
+/* Complete key slots that have this VM as their home and a synced witness. */
 size_t
-count_acting(const vm_t &vm)
+count_served_slots(const vm_t &vm)
 {
 	json_view_t status(call("GET", vm.operators + "/v1/status").body);
-	size_t acting = 0;
+	size_t served = 0;
 
 	for (size_t i = 0; i < status.size("ledger.slots"); i++) {
 		std::string slot = "ledger.slots." + std::to_string(i) + ".";
-		acting += status.text(slot + "home") == vm.name &&
+		served += status.text(slot + "home") == vm.name &&
 		    status.is_true(slot + "complete") &&
 		    status.is_true(slot + "synced");
 	}
-	return acting;
+	return served;
 }
 
 /*
- * Each slot of the ledger has its home, and new keys run at each VM. Keys
- * alone would not show the first: of 64 slots 72 keys miss a third.
+ * Waits until each key slot of the ledger has a home and each VM runs calls
+ * under new keys. Calls alone would not show the former: 72 random keys miss a
+ * third of the 64 slots.
  */
 bool
 wait_settled(const fleet_t &fleet)
@@ -58,11 +59,13 @@
 	std::string body;
 
 	if (!wait_until("all slots have homes", [&fleet] {
-		    std::map<std::string, size_t> acting;
+		    std::map<std::string, size_t> served;
 		    for (const std::unique_ptr<vm_t> &vm : fleet.vms)
-			    acting[vm->domain] += count_acting(*vm);
-		    return std::all_of(acting.begin(), acting.end(),
-			[](const auto &row) { return row.second == SLOTS; });
+			    served[vm->domain] += count_served_slots(*vm);
+		    return std::all_of(
+			served.begin(), served.end(), [](const auto &row) {
+				return row.second == KEY_SLOTS;
+			});
 	    }))
 		return false;
 	for (const std::unique_ptr<vm_t> &vm : fleet.vms) {
@@ -82,7 +85,7 @@
 }
 
 long
-runs_of(const fleet_t &fleet, const std::string &key)
+count_runs(const fleet_t &fleet, const std::string &key)
 {
 	long runs = 0;
 
@@ -94,7 +97,7 @@
 	return runs;
 }
 
-/* The VM that sent a key's call to its server; null: nobody did. */
+/* The VM that sent a key's call to its server; null: none did. */
 vm_t *
 find_sender(const fleet_t &fleet, const std::string &key)
 {
@@ -121,9 +124,9 @@
 		service.fault(json);
 }
 
-/* Only a call without a run may be called "not run". */
+/* Checks that only a call that did not run is reported as "not run". */
 void
-expect_honest(
+expect_consistent_run_status(
     const fleet_t &fleet, const std::string &key, const reply_t &reply)
 {
 	std::string run = reply.text("run");
@@ -138,8 +141,8 @@
 
 /*
  * A booking reaches its server and runs there, but the answer is a 503, a
- * broken connection, or nothing until the timeout. A second try, by this VM
- * or another, books the pallets twice; "not run" makes the shop try itself.
+ * broken connection, or missing until the timeout. A retry by this VM or
+ * another would book twice; reporting "not run" would make the caller retry.
  */
 TEST(OnceFailure, UncertainCallIsNeverSentAgain)
 {
@@ -147,8 +150,8 @@
 	    "run_then_503", "run_then_break", "run_then_hang"};
 	fleet_t fleet(once_options(1, 2));
 
-	/* Warms the connections too: libcurl resends on a reused one that
-	 * breaks before the first byte of the answer. */
+	/* Also opens the connections: libcurl resends a request by itself when
+	 * a reused connection breaks before the first byte of the answer. */
 	ASSERT_TRUE(wait_settled(fleet));
 	for (const char *fault : faults) {
 		SCOPED_TRACE(fault);
@@ -168,15 +171,15 @@
 				EXPECT_EQ(reply.text("run"), "unknown")
 				    << reply.body;
 			}
-			EXPECT_EQ(runs_of(fleet, key), 1);
+			EXPECT_EQ(count_runs(fleet, key), 1);
 		}
 	}
 	EXPECT_EQ(fleet.runs("doubled"), 0);
 }
 
 /*
- * The first use of a connection breaks after the run, as above, but with
- * VMs that were just started and hold no connection yet.
+ * As above, but the connection that breaks after the run is a new one: the VMs
+ * were just started and have no open connections.
  */
 TEST(OnceFailure, BreakOnAFreshConnectionIsNotSentAgain)
 {
@@ -195,8 +198,9 @@
 }
 
 /*
- * A shop resends a booking whose confirmation is long. The answer was too
- * large to be kept, and an empty one would be taken for the whole.
+ * A caller resends a booking whose answer was too large to be stored. An empty
+ * answer would be taken for the complete one, so the VM must report that the
+ * call ran but its answer was not kept.
  */
 TEST(OnceFailure, AnswerThatWasNotKeptIsSaidToBe)
 {
@@ -221,9 +225,10 @@
 }
 
 /*
- * The VM that sent a booking is lost before the answer comes back; the shop
- * sends it again through the others, at once and after they have taken the
- * dead VM's keys over. Who sent it is gone, but not that it was sent.
+ * The VM that sent a booking to its server fails before it gets the answer.
+ * The caller resends it through the other VMs, immediately and after they have
+ * taken the failed VM's keys over. The record that it was sent must survive
+ * the sender.
  */
 TEST(OnceFailure, VmLostAfterSendingLeavesOutcomeUnknown)
 {
@@ -240,14 +245,14 @@
 	});
 	ASSERT_NE(sender, nullptr);
 	sender->process->kill();
-	expect_honest(fleet, key, first.get());
+	expect_consistent_run_status(fleet, key, first.get());
 	fault_services(fleet, "{\"delay_ms\":0}");
 	for (const std::unique_ptr<vm_t> &vm : fleet.vms) {
 		if (vm.get() == sender)
 			continue;
-		expect_honest(fleet, key, vm->book(key));
+		expect_consistent_run_status(fleet, key, vm->book(key));
 		reply_t reply;
-		wait_until("a final word on the call", [&] {
+		wait_until("the outcome is reported as unknown", [&] {
 			reply = vm->book(key);
 			return reply.text("code") == "outcome_unknown";
 		});
@@ -260,9 +265,9 @@
 }
 
 /*
- * An impatient shop sends one booking to VMs of two failure domains at once.
- * One runs it; the others must wait, replay its answer, or say that it is in
- * progress, and none may run it again.
+ * A caller sends one booking to VMs of two failure domains at the same time.
+ * One runs it; the others must wait, replay its answer, or report that it is
+ * in progress, and none may run it again.
  */
 TEST(OnceFailure, SameKeyAtAllVmsRunsOnce)
 {
@@ -283,9 +288,9 @@
 				run = run < 0 ? reply.number("run") : run;
 				EXPECT_EQ(reply.number("run"), run);
 			}
-			expect_honest(fleet, key, reply);
+			expect_consistent_run_status(fleet, key, reply);
 		}
-		EXPECT_EQ(runs_of(fleet, key), 1) << key;
+		EXPECT_EQ(count_runs(fleet, key), 1) << key;
 		reply_t again = fleet.vm(1, 1).book(key);
 		EXPECT_EQ(again.number("run"), run) << again.body;
 		EXPECT_EQ(
@@ -295,16 +300,16 @@
 }
 
 /*
- * Bookings are sent while VMs cannot see each other, the platform, or both,
- * and sent again everywhere once they can. A side that thinks the other is
- * dead and runs its keys anew books twice.
+ * Bookings are sent while VMs can't reach each other, the platform, or both,
+ * and are resent at all VMs during the partition and after it. A side that
+ * treats the other as failed and runs the same keys again would book twice.
  */
 TEST(OnceFailure, CutsNeverRunACallTwice)
 {
 	static const struct {
 		const char *name;
-		bool inside; /* between the VMs of a domain */
-		bool between; /* between the domains */
+		bool within_domain; /* between the VMs of a domain */
+		bool between_domains; /* between the domains */
 		bool platform;
 	} cases[] = {
 	    {"inside a domain", true, false, false},
@@ -324,9 +329,9 @@
 			std::string key =
 			    std::string(row.name) + std::to_string(i);
 			sent[key] = fleet.vms[i % 4]->book_later(key);
-			if (i == 10 && row.inside)
+			if (i == 10 && row.within_domain)
 				fleet.cut(fleet.vm(0, 0), fleet.vm(0, 1), true);
-			if (i == 10 && row.between)
+			if (i == 10 && row.between_domains)
 				fleet.cut_domain(0, true);
 			if (i == 10 && row.platform)
 				fleet.cut_platform_from_domain(0);
@@ -336,14 +341,16 @@
 			first[later.first] = later.second.get();
 		for (const auto &answer : first) {
 			EXPECT_NE(answer.second.status, 0) << answer.first;
-			expect_honest(fleet, answer.first, answer.second);
+			expect_consistent_run_status(
+			    fleet, answer.first, answer.second);
 		}
 		fault_services(fleet, "{\"delay_ms\":0}");
 		for (int i = 0; i < 10; i++) {
 			std::string key =
 			    std::string(row.name) + std::to_string(i * 4);
 			for (const std::unique_ptr<vm_t> &vm : fleet.vms)
-				expect_honest(fleet, key, vm->book(key));
+				expect_consistent_run_status(
+				    fleet, key, vm->book(key));
 		}
 		fleet.cut(fleet.vm(0, 0), fleet.vm(0, 1), false);
 		fleet.cut_domain(0, false);
@@ -351,10 +358,10 @@
 		ASSERT_TRUE(wait_settled(fleet));
 		for (const auto &answer : first) {
 			for (const std::unique_ptr<vm_t> &vm : fleet.vms)
-				expect_honest(fleet, answer.first,
-				    vm->book(answer.first));
+				expect_consistent_run_status(fleet,
+				    answer.first, vm->book(answer.first));
 			if (answer.second.status == 200) {
-				EXPECT_EQ(runs_of(fleet, answer.first), 1);
+				EXPECT_EQ(count_runs(fleet, answer.first), 1);
 			}
 		}
 		EXPECT_EQ(fleet.runs("doubled"), 0);
@@ -362,21 +369,21 @@
 }
 
 /*
- * A VM that has run bookings is killed or frozen, and others take its keys
- * over; then it comes back, with an empty memory or with its old belief. A
- * key that one side has forgotten must not run there.
+ * A VM that has run bookings is killed or paused, and others take its keys
+ * over. Then it restarts with empty memory, or resumes with outdated state. It
+ * must not run a key again that it no longer has in memory.
  */
 TEST(OnceFailure, TakenOverKeysAreRemembered)
 {
 	static const struct {
 		const char *name;
-		bool frozen;
+		bool paused;
 	} cases[] = {{"killed", false}, {"frozen", true}};
 
 	for (const auto &row : cases) {
 		SCOPED_TRACE(row.name);
 		fleet_t fleet(once_options(1, 3));
-		vm_t &gone = fleet.vm(0, 0);
+		vm_t &lost_vm = fleet.vm(0, 0);
 		std::map<std::string, long> runs;
 		ASSERT_TRUE(wait_settled(fleet));
 		for (int i = 0; i < 60; i++) {
@@ -384,26 +391,28 @@
 			runs[key] = fleet.vms[i % 3]->book(key).number("run");
 			EXPECT_GT(runs[key], 0) << key;
 		}
-		if (row.frozen)
-			gone.process->freeze();
+		if (row.paused)
+			lost_vm.process->freeze();
 		else
-			gone.process->kill();
+			lost_vm.process->kill();
 		for (const auto &run : runs) {
 			reply_t reply;
-			wait_until(run.first + " is known", [&] {
-				reply = fleet.vm(0, 1).book(run.first);
-				return reply.status == 200;
-			});
+			wait_until(
+			    run.first + " is answered from the ledger", [&] {
+				    reply = fleet.vm(0, 1).book(run.first);
+				    return reply.status == 200;
+			    });
 			EXPECT_EQ(reply.number("run"), run.second);
 		}
-		if (row.frozen)
-			gone.process->thaw();
+		if (row.paused)
+			lost_vm.process->thaw();
 		else
-			gone.process->start();
-		wait_until("it is back", [&] { return gone.is_ready(); });
+			lost_vm.process->start();
+		wait_until("the VM is ready again",
+		    [&] { return lost_vm.is_ready(); });
 		for (const auto &run : runs) {
-			reply_t reply = gone.book(run.first);
-			expect_honest(fleet, run.first, reply);
+			reply_t reply = lost_vm.book(run.first);
+			expect_consistent_run_status(fleet, run.first, reply);
 			if (reply.status == 200) {
 				EXPECT_EQ(reply.number("run"), run.second);
 			}
--- a/tests/system/platform_contract_test.cc
+++ b/tests/system/platform_contract_test.cc
@@ -1,6 +1,7 @@
 /**
  * @file platform_contract_test.cc
- * @brief docs/interfaces/PLATFORM.md as tables, against $JUJUBE_BIN's stand-in.
+ * @brief Contract tests of docs/interfaces/PLATFORM.md as tables of requests,
+ * run against the stand-in in $JUJUBE_BIN.
  */
 #include <gtest/gtest.h>
 
@@ -26,9 +27,9 @@
 namespace
 {
 
-/* Statuses beyond those of HTTP. */
-const long CLOSED = 0; /* the connection ended without an answer */
-const long GAVE_UP = -1; /* the client's own limit passed first */
+/* Result codes in addition to the HTTP statuses. */
+const long CLOSED = 0; /* connection closed without an answer */
+const long TIMED_OUT = -1; /* the client's time limit expired */
 
 struct Call {
 	const char *method;
@@ -39,8 +40,8 @@
 	long limit_ms = LIMIT_MS;
 };
 
-/* One connection a call: on a reused one libcurl sends again by itself when
- * the answer is lost, which would hide the fault. */
+/* Opens a connection for each call: on a reused one libcurl resends a request
+ * by itself when the answer is lost, which would hide the fault. */
 reply_t
 Send(const Call &call)
 {
@@ -52,13 +53,13 @@
 	reply = harness::call(
 	    call.method, call.url, call.body, headers, call.limit_ms);
 	if (reply.code == CURLE_OPERATION_TIMEDOUT)
-		reply.status = GAVE_UP;
+		reply.status = TIMED_OUT;
 	else if (reply.code != CURLE_OK)
 		reply.status = CLOSED;
 	return reply;
 }
 
-/* A stand-in process of its own for each test. */
+/* The stand-in process; each test starts a new one. */
 class Platform
 {
       public:
@@ -91,8 +92,9 @@
 		rmdir(folder_.c_str());
 	}
 
-	/* The exit status, which a sanitizer's finding changes; one that does
-	 * not end by itself is killed and fails the test. */
+	/* Terminates the stand-in and returns its exit status, which is
+	 * nonzero after a sanitizer finding. A process that does not exit in
+	 * time is killed and fails the test. */
 	int
 	Stop()
 	{
@@ -113,7 +115,7 @@
 	}
 
 	reply_t
-	Ask(const char *method, const std::string &path,
+	Request(const char *method, const std::string &path,
 	    const std::string &body = "", const std::string &header = "",
 	    const char *client = "tester") const
 	{
@@ -123,16 +125,16 @@
 	void
 	Fault(const char *json) const
 	{
-		EXPECT_EQ(204, Ask("POST", "/control/fault", json).status);
+		EXPECT_EQ(204, Request("POST", "/control/fault", json).status);
 	}
 
-	/* Waits until the counts show that the stand-in has seen so much. */
+	/* Waits until the stand-in's request counts contain this text. */
 	void
-	AwaitCount(const std::string &wanted) const
+	WaitForCount(const std::string &expected) const
 	{
-		wait_until(wanted, [&] {
-			return Ask("GET", "/control/counts")
-				   .body.find(wanted) != std::string::npos;
+		wait_until(expected, [&] {
+			return Request("GET", "/control/counts")
+				   .body.find(expected) != std::string::npos;
 		});
 	}
 
@@ -267,7 +269,7 @@
 	    {"PUT", OBJ "a", "x", "", 503, ""},
 	    {"GET", "/v1/vms", "", "", 503, ""},
 	    {FAULT, "{\"outage\":\"hang\"}", "", 204, ""},
-	    {"PUT", OBJ "a", "x", "", GAVE_UP, "", "tester", 100},
+	    {"PUT", OBJ "a", "x", "", TIMED_OUT, "", "tester", 100},
 	    {FAULT, "{\"outage\":\"none\"}", "", 204, ""},
 	    {"GET", OBJ "a", "", "", 404, ""},
 	    {"GET", "/control/counts", "", "", 200, "\"put\":2"}}},
@@ -337,7 +339,7 @@
 	    return std::string(info.param.name);
     });
 
-/* What happens to a watch that is already waiting. */
+/* An event during a pending watch, and the watch's expected answer. */
 struct WaitingCase {
 	const char *name;
 	const char *method;
@@ -357,21 +359,22 @@
 {
 };
 
-/* A VM's watch is open when the platform changes, is cut off or goes down.
- * If the watch slept on, the VM would believe itself up to date for a minute. */
+/* A VM's watch is pending when an object changes, the client is disconnected,
+ * or the platform fails. Unless the watch ends immediately, the VM assumes for
+ * up to a minute that it is up to date. */
 TEST_P(WaitingWatch, EndsAtOnce)
 {
 	const WaitingCase &param = GetParam();
 	Platform platform({});
 	reply_t reply = {};
 	std::thread watcher([&] {
-		reply = platform.Ask("GET",
+		reply = platform.Request("GET",
 		    "/v1/watch?prefix=c/&since=0&wait=60000", "", "",
 		    "watcher");
 	});
 
-	platform.AwaitCount("\"watch\":1,");
-	platform.Ask(param.method, param.path, param.body);
+	platform.WaitForCount("\"watch\":1,");
+	platform.Request(param.method, param.path, param.body);
 	watcher.join();
 	EXPECT_EQ(param.status, reply.status);
 	EXPECT_NE(std::string::npos, reply.body.find(param.contains));
@@ -382,21 +385,22 @@
 	    return std::string(info.param.name);
     });
 
-/* A planned stop of the stand-in while a watch waits and a call hangs: both
- * end, and so does the process. */
+/* The stand-in is stopped gracefully while a watch is pending and a call hangs:
+ * both end, and the process exits. */
 TEST(PlatformProcess, StopsWithCallsOpen)
 {
 	Platform platform({});
 	reply_t watched = {};
 	reply_t hung = {};
 	std::thread watcher([&] {
-		watched = platform.Ask("GET", "/v1/watch?since=0&wait=60000");
+		watched =
+		    platform.Request("GET", "/v1/watch?since=0&wait=60000");
 	});
 
-	platform.AwaitCount("\"watch\":1,");
+	platform.WaitForCount("\"watch\":1,");
 	platform.Fault("{\"outage\":\"hang\"}");
-	std::thread caller([&] { hung = platform.Ask("GET", "/v1/vms"); });
-	platform.AwaitCount("\"vms\":1,");
+	std::thread caller([&] { hung = platform.Request("GET", "/v1/vms"); });
+	platform.WaitForCount("\"vms\":1,");
 	EXPECT_EQ(0, platform.Stop());
 	watcher.join();
 	caller.join();
@@ -404,20 +408,21 @@
 	EXPECT_EQ(CLOSED, hung.status);
 }
 
-/* A slow platform: the answer comes no sooner than the delay. */
+/* With the delay fault, an answer takes at least the configured delay. */
 TEST(PlatformProcess, DelaysAnswers)
 {
 	Platform platform({});
 
 	platform.Fault("{\"delay_ms\":50}");
 	auto before = std::chrono::steady_clock::now();
-	EXPECT_EQ(201, platform.Ask("PUT", OBJ "a", "x").status);
+	EXPECT_EQ(201, platform.Request("PUT", OBJ "a", "x").status);
 	EXPECT_LE(std::chrono::milliseconds(50),
 	    std::chrono::steady_clock::now() - before);
 }
 
-/* Eight clients count one number up by compare-and-swap. Were check and write
- * not one step, two would both succeed on one version and a count be lost. */
+/* Eight clients increment one counter by compare-and-swap. If check and write
+ * were not atomic, two writes could succeed on the same version and an
+ * increment would be lost. */
 TEST(PlatformProcess, ConditionalWritesAreLinearizable)
 {
 	const int clients = 8;
@@ -425,11 +430,11 @@
 	Platform platform({"--write-rate", "0", "--read-rate", "0"});
 	std::vector<std::thread> threads;
 
-	ASSERT_EQ(201, platform.Ask("PUT", OBJ "n", "0", IF_NEW).status);
+	ASSERT_EQ(201, platform.Request("PUT", OBJ "n", "0", IF_NEW).status);
 	for (int i = 0; i < clients; i++)
 		threads.emplace_back([&] {
 			for (int done = 0; done < rounds;) {
-				reply_t read = platform.Ask("GET", OBJ "n");
+				reply_t read = platform.Request("GET", OBJ "n");
 				size_t at = read.headers.find("ETag: ");
 				size_t end = read.headers.find("\r\n", at);
 				std::string etag =
@@ -437,7 +442,7 @@
 				int next = atoi(read.body.c_str()) + 1;
 
 				if (platform
-					.Ask("PUT", OBJ "n",
+					.Request("PUT", OBJ "n",
 					    std::to_string(next),
 					    "If-Match: " + etag)
 					.status == 200)
@@ -447,9 +452,9 @@
 	for (std::thread &thread : threads)
 		thread.join();
 	EXPECT_EQ(std::to_string(clients * rounds),
-	    platform.Ask("GET", OBJ "n").body);
+	    platform.Request("GET", OBJ "n").body);
 	json_t *log = json_loads(
-	    platform.Ask("GET", "/control/log").body.c_str(), 0, nullptr);
+	    platform.Request("GET", "/control/log").body.c_str(), 0, nullptr);
 	ASSERT_EQ(size_t(clients * rounds + 1), json_array_size(log));
 	for (size_t i = 0; i < json_array_size(log); i++)
 		EXPECT_EQ(json_int_t(i + 1),
--- a/tests/system/ports.cc
+++ b/tests/system/ports.cc
@@ -1,5 +1,5 @@
 /*
- * Ports of the failure tests, each held by one fleet of one program.
+ * Loopback ports for the failure tests; test programs reserve them in blocks.
  */
 #include <arpa/inet.h>
 #include <fcntl.h>
@@ -21,13 +21,13 @@
 namespace
 {
 
-/* Below the ports that the kernel gives to outgoing connections, so that no
- * connection takes the port of a process that is to be restarted. */
-constexpr int PORT_LEAST = 10000;
+/* Below the kernel's ephemeral range, so that no outgoing connection takes the
+ * port of a process that is being restarted. */
+constexpr int PORT_MIN = 10000;
 constexpr int BLOCKS = 200;
 constexpr int PORTS_PER_BLOCK = 100;
 constexpr int POLL_MS = 20;
-constexpr long LOCK_LIMIT_MS = 60000;
+constexpr long LOCK_TIMEOUT_MS = 60000;
 
 bool
 is_free(int port)
@@ -66,20 +66,21 @@
 	return "127.0.0.1:" + std::to_string(port);
 }
 
-/* Programs begin their search at different blocks. */
+/* Test programs start their search at different blocks. */
 void
 ports_t::lock_block()
 {
 	int first = getpid() % BLOCKS;
 
-	for (long waited = 0; waited < LOCK_LIMIT_MS; waited += POLL_MS) {
+	for (long waited = 0; waited < LOCK_TIMEOUT_MS; waited += POLL_MS) {
 		for (int i = 0; i < BLOCKS; i++) {
 			if (try_lock_block((first + i) % BLOCKS))
 				return;
 		}
 		poll(nullptr, 0, POLL_MS);
 	}
-	fprintf(stderr, "no block of ports came free\n");
+	fprintf(
+	    stderr, "no block of ports became free within the time limit\n");
 	abort();
 }
 
@@ -100,7 +101,7 @@
 		return false;
 	}
 	locks.push_back(fd);
-	next = PORT_LEAST + block * PORTS_PER_BLOCK;
+	next = PORT_MIN + block * PORTS_PER_BLOCK;
 	end = next + PORTS_PER_BLOCK;
 	return true;
 }
