--- a/bench/batch_side.c
+++ b/bench/batch_side.c
@@ -23,7 +23,7 @@
 
 	if (!world->batch_offered)
 		return;
-	capacity = jj_dispatch_batch_room(dispatch, world_now_ms(world));
+	capacity = jj_dispatch_batch_capacity(dispatch, world_now_ms(world));
 	while (capacity > 0) {
 		item = make_item(world);
 		request.request = item->request;
@@ -40,7 +40,8 @@
 		    dispatch, &request, world_now_ms(world), actions);
 		vms_do_actions(world, vm, actions);
 		capacity--;
-		if (jj_dispatch_batch_room(dispatch, world_now_ms(world)) == 0)
+		if (jj_dispatch_batch_capacity(dispatch, world_now_ms(world)) ==
+		    0)
 			break;
 	}
 }
--- a/src/core/batch_backlog.c
+++ b/src/core/batch_backlog.c
@@ -21,54 +21,56 @@
 	jj_ms_t since_ms;
 } waiter_t;
 
-struct jj_withheld {
+struct jj_batch_backlog {
 	TAILQ_HEAD(, waiter) waiters;
 	uint32_t count;
 };
 
-static void refuse(jj_withheld_t *, waiter_t *, jj_give_up_t, jj_actions_t *);
-static void remove_waiter(jj_withheld_t *, waiter_t *);
+static void
+refuse(jj_batch_backlog_t *, waiter_t *, jj_give_up_t, jj_actions_t *);
+static void remove_waiter(jj_batch_backlog_t *, waiter_t *);
 
-jj_withheld_t *
-jj_withheld_create(void)
+jj_batch_backlog_t *
+jj_batch_backlog_create(void)
 {
-	jj_withheld_t *withheld = jj_alloc(sizeof(*withheld));
+	jj_batch_backlog_t *batch_backlog = jj_alloc(sizeof(*batch_backlog));
 
-	TAILQ_INIT(&withheld->waiters);
-	return withheld;
+	TAILQ_INIT(&batch_backlog->waiters);
+	return batch_backlog;
 }
 
 void
-jj_withheld_destroy(jj_withheld_t *withheld)
+jj_batch_backlog_destroy(jj_batch_backlog_t *batch_backlog)
 {
-	if (withheld == NULL)
+	if (batch_backlog == NULL)
 		return;
-	while (!TAILQ_EMPTY(&withheld->waiters))
-		remove_waiter(withheld, TAILQ_FIRST(&withheld->waiters));
-	free(withheld);
+	while (!TAILQ_EMPTY(&batch_backlog->waiters))
+		remove_waiter(
+		    batch_backlog, TAILQ_FIRST(&batch_backlog->waiters));
+	free(batch_backlog);
 }
 
 void
-jj_withheld_add(
-    jj_withheld_t *withheld, const jj_request_t *request, jj_ms_t now)
+jj_batch_backlog_add(
+    jj_batch_backlog_t *batch_backlog, const jj_request_t *request, jj_ms_t now)
 {
 	waiter_t *waiter = jj_alloc(sizeof(*waiter));
 
 	waiter->request = *request;
 	waiter->since_ms = now;
-	TAILQ_INSERT_TAIL(&withheld->waiters, waiter, link);
-	withheld->count++;
+	TAILQ_INSERT_TAIL(&batch_backlog->waiters, waiter, link);
+	batch_backlog->count++;
 }
 
 bool
-jj_withheld_remove(jj_withheld_t *withheld, uint64_t request)
+jj_batch_backlog_remove(jj_batch_backlog_t *batch_backlog, uint64_t request)
 {
 	waiter_t *waiter;
 
-	TAILQ_FOREACH(waiter, &withheld->waiters, link)
+	TAILQ_FOREACH(waiter, &batch_backlog->waiters, link)
 	{
 		if (waiter->request.request == request) {
-			remove_waiter(withheld, waiter);
+			remove_waiter(batch_backlog, waiter);
 			return true;
 		}
 	}
@@ -76,20 +78,21 @@
 }
 
 void
-jj_withheld_pump(jj_withheld_t *withheld, jj_dispatch_t *dispatch, jj_ms_t now,
-    jj_actions_t *out)
+jj_batch_backlog_pump(jj_batch_backlog_t *batch_backlog,
+    jj_dispatch_t *dispatch, jj_ms_t now, jj_actions_t *out)
 {
 	jj_name_t full = {""};
 	waiter_t *waiter;
 	waiter_t *next;
 
-	for (waiter = TAILQ_FIRST(&withheld->waiters); waiter != NULL;
+	for (waiter = TAILQ_FIRST(&batch_backlog->waiters); waiter != NULL;
 	     waiter = next) {
 		next = TAILQ_NEXT(waiter, link);
 		if (now - waiter->since_ms >= NO_SHARE_MS &&
 		    !jj_dispatch_has_share(
 			dispatch, &waiter->request.service, now)) {
-			refuse(withheld, waiter, JJ_GIVE_UP_OVERLOADED, out);
+			refuse(
+			    batch_backlog, waiter, JJ_GIVE_UP_OVERLOADED, out);
 			continue;
 		}
 		if (jj_name_equal(&waiter->request.service, &full))
@@ -100,27 +103,27 @@
 			continue;
 		}
 		jj_dispatch_begin(dispatch, &waiter->request, now, out);
-		remove_waiter(withheld, waiter);
+		remove_waiter(batch_backlog, waiter);
 	}
 }
 
 void
-jj_withheld_leave(jj_withheld_t *withheld, jj_actions_t *out)
+jj_batch_backlog_stop(jj_batch_backlog_t *batch_backlog, jj_actions_t *out)
 {
-	while (!TAILQ_EMPTY(&withheld->waiters))
-		refuse(withheld, TAILQ_FIRST(&withheld->waiters),
+	while (!TAILQ_EMPTY(&batch_backlog->waiters))
+		refuse(batch_backlog, TAILQ_FIRST(&batch_backlog->waiters),
 		    JJ_GIVE_UP_STOPPING, out);
 }
 
 uint32_t
-jj_withheld_count(const jj_withheld_t *withheld)
+jj_batch_backlog_count(const jj_batch_backlog_t *batch_backlog)
 {
-	return withheld->count;
+	return batch_backlog->count;
 }
 
 /** Refuses a request, as not run. */
 static void
-refuse(jj_withheld_t *withheld, waiter_t *waiter, jj_give_up_t reason,
+refuse(jj_batch_backlog_t *batch_backlog, waiter_t *waiter, jj_give_up_t reason,
     jj_actions_t *out)
 {
 	jj_action_t *action = jj_actions_add(out, JJ_ACTION_ANSWER);
@@ -128,13 +131,13 @@
 	action->body.answer.request = waiter->request.request;
 	action->body.answer.reason = reason;
 	action->body.answer.run = JJ_RUN_NOT_RUN;
-	remove_waiter(withheld, waiter);
+	remove_waiter(batch_backlog, waiter);
 }
 
 static void
-remove_waiter(jj_withheld_t *withheld, waiter_t *waiter)
+remove_waiter(jj_batch_backlog_t *batch_backlog, waiter_t *waiter)
 {
-	TAILQ_REMOVE(&withheld->waiters, waiter, link);
-	withheld->count--;
+	TAILQ_REMOVE(&batch_backlog->waiters, waiter, link);
+	batch_backlog->count--;
 	free(waiter);
 }
--- a/src/core/batch_backlog.h
+++ b/src/core/batch_backlog.h
@@ -11,23 +11,25 @@
 
 #include "core/dispatch.h"
 
-typedef struct jj_withheld jj_withheld_t;
+typedef struct jj_batch_backlog jj_batch_backlog_t;
 
-jj_withheld_t *jj_withheld_create(void);
-void jj_withheld_destroy(jj_withheld_t *withheld);
+jj_batch_backlog_t *jj_batch_backlog_create(void);
+void jj_batch_backlog_destroy(jj_batch_backlog_t *batch_backlog);
 /** Adds a batch request behind the others of its service. */
-void jj_withheld_add(
-    jj_withheld_t *withheld, const jj_request_t *request, jj_ms_t now);
+void jj_batch_backlog_add(jj_batch_backlog_t *batch_backlog,
+    const jj_request_t *request, jj_ms_t now);
 /** Removes a request; false when it does not wait here. */
-bool jj_withheld_remove(jj_withheld_t *withheld, uint64_t request);
+bool
+jj_batch_backlog_remove(jj_batch_backlog_t *batch_backlog, uint64_t request);
 /**
  * Begins requests, in order, while their services have capacity. Refuses those
  * of services of whose servers this VM is no longer steward.
  */
-void jj_withheld_pump(jj_withheld_t *withheld, jj_dispatch_t *dispatch,
-    jj_ms_t now, jj_actions_t *out);
+void jj_batch_backlog_pump(jj_batch_backlog_t *batch_backlog,
+    jj_dispatch_t *dispatch, jj_ms_t now, jj_actions_t *out);
 /** Refuses all waiting requests as not run, as this VM is stopping. */
-void jj_withheld_leave(jj_withheld_t *withheld, jj_actions_t *out);
-uint32_t jj_withheld_count(const jj_withheld_t *withheld);
+void
+jj_batch_backlog_stop(jj_batch_backlog_t *batch_backlog, jj_actions_t *out);
+uint32_t jj_batch_backlog_count(const jj_batch_backlog_t *batch_backlog);
 
 #endif
--- a/src/core/core.c
+++ b/src/core/core.c
@@ -35,7 +35,7 @@
 #define CONFIG_REFRESH_MS 1000
 /** Maximum time between ticks of the modules, ms. */
 #define TICK_INTERVAL_MAX_MS 100
-/** Time between ticks while withheld items wait for free capacity, ms. */
+/** Time between ticks while batch_backlog items wait for free capacity, ms. */
 #define WITHHELD_TICK_MS 10
 /** Items of a service that may wait here in excess of the free capacity. */
 #define WITHHELD_EXTRA_MAX 4
@@ -92,7 +92,7 @@
 	jj_calls_destroy(core->calls);
 	jj_ledger_destroy(core->ledger);
 	jj_suspects_destroy(core->suspects);
-	jj_withheld_destroy(core->withheld);
+	jj_batch_backlog_destroy(core->batch_backlog);
 	jj_dispatch_destroy(core->dispatch);
 	jj_config_destroy(core->config);
 	jj_quarantine_destroy(core->quarantine);
@@ -190,7 +190,7 @@
 	next = min_ms(next, jj_watch_next(&core->config_watch));
 	next = min_ms(next, jj_watch_next(&core->jobs_watch));
 	next = min_ms(next, next_suspect(core));
-	if (jj_withheld_count(core->withheld) > 0)
+	if (jj_batch_backlog_count(core->batch_backlog) > 0)
 		next = min_ms(next, core->last_tick + WITHHELD_TICK_MS);
 	return next;
 }
@@ -285,7 +285,7 @@
 	core->config = jj_config_create(&settings->config);
 	core->dispatch = jj_dispatch_create(&settings->dispatch, core->config,
 	    core->fleet, core->member, core->quarantine);
-	core->withheld = jj_withheld_create();
+	core->batch_backlog = jj_batch_backlog_create();
 	core->suspects = jj_suspects_create(SUSPECT_DELAY_MS);
 	core->ledger = jj_ledger_create(&settings->ledger, &port);
 	core->calls = jj_calls_create(&calls, core->ledger, core->member);
@@ -375,7 +375,8 @@
 {
 	bool accepted = jj_member_accept(core->member, message, now, out);
 
-	jj_struck_greet(core->quarantine, core->member, now, out);
+	jj_crash_history_send_to_arrivals(
+	    core->quarantine, core->member, now, out);
 	if (!accepted)
 		return;
 	switch (message->kind) {
@@ -428,7 +429,7 @@
 take_member_result(jj_core_t *core, const jj_platform_result_t *result,
     jj_ms_t now, jj_actions_t *out)
 {
-	jj_watch_news_t update;
+	jj_watch_update_t update;
 
 	if (result->token == TOKEN_VMS) {
 		jj_core_take_vms(core, result, now, out);
@@ -478,8 +479,8 @@
 {
 	core->leaving = true;
 	jj_member_set_state(core->member, JJ_VM_LEAVING);
-	jj_dispatch_leave(core->dispatch);
-	jj_withheld_leave(core->withheld, out);
+	jj_dispatch_drain(core->dispatch);
+	jj_batch_backlog_stop(core->batch_backlog, out);
 	jj_ledger_leave(core->ledger, now, out);
 	jj_lease_want(core->lease, false, now, out);
 }
--- a/src/core/core_requests.c
+++ b/src/core/core_requests.c
@@ -46,7 +46,7 @@
 		return;
 	}
 	if (request.class_of == JJ_CLASS_BATCH && !core->leaving)
-		jj_withheld_add(core->withheld, &request, now);
+		jj_batch_backlog_add(core->batch_backlog, &request, now);
 	else if (jj_core_awaits_crash_history(core, now) ||
 	    jj_quarantine_check(core->quarantine, request.fingerprint, now) ==
 		JJ_QUARANTINE_SUSPECT)
@@ -59,7 +59,7 @@
 jj_core_cancel_request(
     jj_core_t *core, uint64_t request, jj_ms_t now, jj_actions_t *out)
 {
-	if (jj_withheld_remove(core->withheld, request))
+	if (jj_batch_backlog_remove(core->batch_backlog, request))
 		return;
 	if (jj_suspects_remove(core->suspects, request))
 		return;
@@ -71,7 +71,7 @@
 {
 	if (!jj_core_awaits_crash_history(core, now))
 		jj_suspects_tick(core->suspects, core->dispatch, now, out);
-	jj_withheld_pump(core->withheld, core->dispatch, now, out);
+	jj_batch_backlog_pump(core->batch_backlog, core->dispatch, now, out);
 }
 
 void
--- a/src/core/core_state.h
+++ b/src/core/core_state.h
@@ -31,7 +31,7 @@
 	jj_quarantine_t *quarantine;
 	jj_config_t *config;
 	jj_dispatch_t *dispatch;
-	jj_withheld_t *withheld;
+	jj_batch_backlog_t *batch_backlog;
 	jj_suspects_t *suspects;
 	jj_ledger_t *ledger;
 	jj_calls_t *calls;
--- a/src/core/core_status.c
+++ b/src/core/core_status.c
@@ -18,19 +18,19 @@
     jj_core_t *core, uint64_t operation, jj_ms_t now, jj_actions_t *out)
 {
 	jj_action_t *action = jj_actions_add(out, JJ_ACTION_JOB_ANSWER);
-	json_t *root =
-	    json_pack("{s:s,s:s,s:b,s:b,s:I,s:i,s:i,s:i,s:b,s:I,s:I}", "vm",
-		core->settings.name.text, "domain", core->settings.domain.text,
-		"leaving", core->leaving, "speaker",
-		jj_member_is_speaker(core->member), "config_version",
-		(json_int_t)jj_config_version(core->config), "online_in_flight",
-		(int)jj_dispatch_in_flight(core->dispatch, JJ_CLASS_ONLINE),
-		"batch_in_flight",
-		(int)jj_dispatch_in_flight(core->dispatch, JJ_CLASS_BATCH),
-		"batch_room", (int)jj_dispatch_batch_room(core->dispatch, now),
-		"holds_order_lease", jj_lease_is_held(core->lease, now),
-		"fence", (json_int_t)jj_lease_fence(core->lease), "quarantined",
-		(json_int_t)jj_quarantine_count(core->quarantine, now));
+	json_t *root = json_pack(
+	    "{s:s,s:s,s:b,s:b,s:I,s:i,s:i,s:i,s:b,s:I,s:I}", "vm",
+	    core->settings.name.text, "domain", core->settings.domain.text,
+	    "leaving", core->leaving, "speaker",
+	    jj_member_is_speaker(core->member), "config_version",
+	    (json_int_t)jj_config_version(core->config), "online_in_flight",
+	    (int)jj_dispatch_in_flight(core->dispatch, JJ_CLASS_ONLINE),
+	    "batch_in_flight",
+	    (int)jj_dispatch_in_flight(core->dispatch, JJ_CLASS_BATCH),
+	    "batch_room", (int)jj_dispatch_batch_capacity(core->dispatch, now),
+	    "holds_order_lease", jj_lease_is_held(core->lease, now), "fence",
+	    (json_int_t)jj_lease_fence(core->lease), "quarantined",
+	    (json_int_t)jj_quarantine_count(core->quarantine, now));
 
 	(void)json_object_set_new(root, "vms", describe_vms(core, now));
 	(void)json_object_set_new(root, "servers", describe_servers(core, now));
--- a/src/core/core_updates.c
+++ b/src/core/core_updates.c
@@ -438,7 +438,7 @@
 {
 	bool remote = is_in_remote_domain(core, &message->from);
 
-	if (jj_struck_take(core->quarantine, message, now, out))
+	if (jj_crash_history_take(core->quarantine, message, now, out))
 		send_update(core, message, remote,
 		    !remote && jj_member_is_speaker(core->member), out);
 	if (!remote)
--- a/src/core/crash_history.c
+++ b/src/core/crash_history.c
@@ -17,8 +17,8 @@
     const jj_quarantine_t *, const jj_name_t *, bool, jj_ms_t, jj_actions_t *);
 
 void
-jj_struck_greet(const jj_quarantine_t *quarantine, jj_member_t *member,
-    jj_ms_t now, jj_actions_t *out)
+jj_crash_history_send_to_arrivals(const jj_quarantine_t *quarantine,
+    jj_member_t *member, jj_ms_t now, jj_actions_t *out)
 {
 	jj_name_t name;
 
@@ -27,7 +27,7 @@
 }
 
 bool
-jj_struck_take(jj_quarantine_t *quarantine, const jj_message_t *message,
+jj_crash_history_take(jj_quarantine_t *quarantine, const jj_message_t *message,
     jj_ms_t now, jj_actions_t *out)
 {
 	bool changed = jj_quarantine_take_history(quarantine,
--- a/src/core/crash_history.h
+++ b/src/core/crash_history.h
@@ -19,14 +19,14 @@
  * Sends the list to the VMs that have become live and requests theirs; call it
  * after each message.
  */
-void jj_struck_greet(const jj_quarantine_t *quarantine, jj_member_t *member,
-    jj_ms_t now, jj_actions_t *out);
+void jj_crash_history_send_to_arrivals(const jj_quarantine_t *quarantine,
+    jj_member_t *member, jj_ms_t now, jj_actions_t *out);
 /**
  * Handles a message of kind JJ_MESSAGE_STRUCK and answers it when requested,
  * also with an empty list: the other VM may wait for it.
  * @return true when it contained a crash that was not known here.
  */
-bool jj_struck_take(jj_quarantine_t *quarantine, const jj_message_t *message,
-    jj_ms_t now, jj_actions_t *out);
+bool jj_crash_history_take(jj_quarantine_t *quarantine,
+    const jj_message_t *message, jj_ms_t now, jj_actions_t *out);
 
 #endif
--- a/src/core/dispatch.c
+++ b/src/core/dispatch.c
@@ -295,7 +295,7 @@
 }
 
 uint32_t
-jj_dispatch_batch_room(const jj_dispatch_t *dispatch, jj_ms_t now)
+jj_dispatch_batch_capacity(const jj_dispatch_t *dispatch, jj_ms_t now)
 {
 	const jj_service_queue_t *service;
 	uint32_t capacity = 0;
@@ -389,7 +389,7 @@
 }
 
 void
-jj_dispatch_leave(jj_dispatch_t *dispatch)
+jj_dispatch_drain(jj_dispatch_t *dispatch)
 {
 	dispatch->leaving = true;
 }
--- a/src/core/dispatch.h
+++ b/src/core/dispatch.h
@@ -68,7 +68,7 @@
 	jj_ms_t retry_after_ms; /**< Retry-After that came with a refusal */
 	bool relayed; /**< the caller has received part of the answer */
 	bool resumable; /**< the server can resume the stream */
-	bool look_cut; /**< the health probe of the server was cut off, too */
+	bool probe_cut; /**< the health probe of the server was cut off, too */
 } jj_backend_event_t;
 
 typedef struct {
@@ -138,7 +138,7 @@
 void jj_dispatch_tick(jj_dispatch_t *dispatch, jj_ms_t now, jj_actions_t *out);
 jj_ms_t jj_dispatch_next(const jj_dispatch_t *dispatch);
 /** How many more batch items this VM can start now, over all its servers. */
-uint32_t jj_dispatch_batch_room(const jj_dispatch_t *dispatch, jj_ms_t now);
+uint32_t jj_dispatch_batch_capacity(const jj_dispatch_t *dispatch, jj_ms_t now);
 /** Batch limit of this VM at the servers of one service. */
 typedef struct {
 	jj_name_t service;
@@ -171,7 +171,7 @@
  * Starts a planned stop: new requests are refused, those in flight run to their
  * end.
  */
-void jj_dispatch_leave(jj_dispatch_t *dispatch);
+void jj_dispatch_drain(jj_dispatch_t *dispatch);
 /** Number of requests of a class that are queued or in flight. */
 uint32_t
 jj_dispatch_in_flight(const jj_dispatch_t *dispatch, jj_class_t class_of);
--- a/src/core/dispatch_failure.c
+++ b/src/core/dispatch_failure.c
@@ -249,7 +249,8 @@
 {
 	entry->suspect = true;
 	entry->breaks++;
-	entry->awaits_probe = event->look_cut && !crashed && entry->breaks == 1;
+	entry->awaits_probe =
+	    event->probe_cut && !crashed && entry->breaks == 1;
 	if (entry->breaks > 1 || entry->awaits_probe)
 		entry->deferred_until_ms = now + CRASH_DETECTION_MS;
 	/*
@@ -263,7 +264,7 @@
 	    "breaks=%u died=%d look_cut=%d hold_ms=%lld",
 	    (unsigned long long)entry->request.request,
 	    (unsigned long long)entry->request.fingerprint, entry->avoid.text,
-	    entry->attempt, entry->breaks, crashed, event->look_cut,
+	    entry->attempt, entry->breaks, crashed, event->probe_cut,
 	    entry->deferred_until_ms > now
 		? (long long)(entry->deferred_until_ms - now)
 		: 0LL);
--- a/src/core/gateway.c
+++ b/src/core/gateway.c
@@ -160,7 +160,8 @@
 
 	begin_step(gateway, now, out);
 	accepted = jj_member_accept(gateway->member, message, now, out);
-	jj_struck_greet(gateway->quarantine, gateway->member, now, out);
+	jj_crash_history_send_to_arrivals(
+	    gateway->quarantine, gateway->member, now, out);
 	if (accepted)
 		jj_gateway_take_peer_message(gateway, message, now, out);
 	end_step(gateway, now, out);
--- a/src/core/gateway_requests.c
+++ b/src/core/gateway_requests.c
@@ -197,7 +197,7 @@
 jj_gateway_dispatch(jj_gateway_t *gateway, jj_gateway_entry_t *entry,
     jj_ms_t now, jj_actions_t *out)
 {
-	jj_slots_wish_t criteria = {&entry->service,
+	jj_slots_criteria_t criteria = {&entry->service,
 	    server_to_avoid(gateway, entry),
 	    jj_gateway_first_event_limit(entry)};
 	jj_slot_server_t *server;
@@ -442,7 +442,7 @@
 
 	if (jj_gateway_preempt(gateway, server, "online", now, out))
 		return;
-	vm = jj_slots_ask_to_yield(server);
+	vm = jj_slots_choose_vm_to_yield(server);
 	if (vm == NULL)
 		return;
 	message = jj_actions_add_message(out, vm, JJ_MESSAGE_YIELD);
@@ -548,7 +548,7 @@
 	jj_ms_t since =
 	    entry->first_seen ? entry->attempt_first_ms : entry->sent_ms;
 
-	jj_slots_note_hold(entry->server, now - since);
+	jj_slots_note_service_time(entry->server, now - since);
 	gateway->mean_service_ms +=
 	    MEAN_WEIGHT * ((double)(now - since) - gateway->mean_service_ms);
 }
--- a/src/core/gateway_servers.c
+++ b/src/core/gateway_servers.c
@@ -16,7 +16,7 @@
 static const char *read_entry(jj_gateway_t *, const jj_platform_item_t *,
     jj_slot_info_t *, char *, size_t);
 static void log_learned(jj_gateway_t *, const jj_platform_item_t *,
-    const jj_slot_info_t *, int64_t, jj_slots_learned_t);
+    const jj_slot_info_t *, int64_t, jj_slots_update_t);
 
 void
 jj_gateway_begin_servers(void *ctx)
@@ -40,7 +40,7 @@
 	const jj_slot_server_t *known = jj_slots_find(gateway->slots, id);
 	int64_t before = known != NULL ? known->info.started_ms : 0;
 	bool was_draining = known != NULL && known->info.draining;
-	jj_slots_learned_t learned;
+	jj_slots_update_t learned;
 	jj_slot_info_t info = {0};
 	char why[100] = "";
 
@@ -48,10 +48,11 @@
 		jj_actions_add_event(gateway->out, "server_unreadable",
 		    "server=%s version=%llu known=%d why=\"%s\"", id,
 		    (unsigned long long)item->version, known != NULL, why);
-		jj_slots_drop(gateway->slots, id, gateway->now, gateway->now);
+		jj_slots_note_unlisted(
+		    gateway->slots, id, gateway->now, gateway->now);
 		return;
 	}
-	learned = jj_slots_learn(gateway->slots, &info, gateway->now);
+	learned = jj_slots_update(gateway->slots, &info, gateway->now);
 	if (learned != JJ_SLOTS_KNOWN || was_draining != info.draining)
 		log_learned(gateway, item, &info, before, learned);
 }
@@ -63,8 +64,8 @@
 
 	jj_actions_add_event(
 	    gateway->out, "server_unlisted", "server=%s", jj_object_name(key));
-	jj_slots_drop(gateway->slots, jj_object_name(key), gateway->now,
-	    gateway->now + gateway->settings.relist_grace_ms);
+	jj_slots_note_unlisted(gateway->slots, jj_object_name(key),
+	    gateway->now, gateway->now + gateway->settings.relist_grace_ms);
 }
 
 void
@@ -81,7 +82,8 @@
 {
 	const jj_slot_server_t *server;
 
-	while ((server = jj_slots_settle_claim(gateway->slots, now)) != NULL)
+	while (
+	    (server = jj_slots_accept_old_start(gateway->slots, now)) != NULL)
 		jj_actions_add_event(out, "server_start_settled",
 		    "server=%s started=%lld", server->info.id.text,
 		    (long long)server->info.started_ms);
@@ -107,19 +109,18 @@
 
 static void
 log_learned(jj_gateway_t *gateway, const jj_platform_item_t *item,
-    const jj_slot_info_t *info, int64_t before, jj_slots_learned_t learned)
+    const jj_slot_info_t *info, int64_t before, jj_slots_update_t learned)
 {
 	static const char *const events[] = {
 	    [JJ_SLOTS_KNOWN] = "server_listed",
 	    [JJ_SLOTS_NEW] = "server_listed",
-	    [JJ_SLOTS_STARTED_AGAIN] = "server_started_again",
+	    [JJ_SLOTS_RESTARTED] = "server_started_again",
 	    [JJ_SLOTS_OLD_START] = "server_old_start",
 	};
 
 	jj_actions_add_event(gateway->out,
-	    learned < JJ_SLOTS_STARTED_AGAIN && info->draining
-		? "server_draining"
-		: events[learned],
+	    learned < JJ_SLOTS_RESTARTED && info->draining ? "server_draining"
+							   : events[learned],
 	    "server=%s service=%s domain=%s address=%s version=%llu "
 	    "started=%lld before=%lld draining=%d",
 	    info->id.text, info->service.text, info->domain.text, info->address,
--- a/src/core/gateway_updates.c
+++ b/src/core/gateway_updates.c
@@ -49,14 +49,15 @@
 		    gateway->quarantine, &message->body.crash, now, out);
 		break;
 	case JJ_MESSAGE_STRUCK:
-		(void)jj_struck_take(gateway->quarantine, message, now, out);
+		(void)jj_crash_history_take(
+		    gateway->quarantine, message, now, out);
 		break;
 	case JJ_MESSAGE_SERVER_STATE:
 		server = jj_slots_find_hash(
 		    gateway->slots, message->body.server.boot);
 		if (server != NULL &&
 		    message->body.server.state == JJ_SERVER_DOWN)
-			jj_slots_note_doubt(server, now);
+			jj_slots_note_remote_failure(server, now);
 		break;
 	case JJ_MESSAGE_LEND:
 		jj_gateway_take_borrow_request(gateway, message, now, out);
@@ -226,8 +227,8 @@
 	uint32_t count;
 	size_t i;
 
-	while ((count = jj_slots_take_news(gateway->slots,
-		    remote ? JJ_SLOTS_FAR : JJ_SLOTS_NEAR, loads,
+	while ((count = jj_slots_take_changes(gateway->slots,
+		    remote ? JJ_SLOTS_SCOPE_ALL : JJ_SLOTS_SCOPE_DOMAIN, loads,
 		    JJ_MESSAGE_LOADS_MAX)) > 0) {
 		for (i = 0; i < vms; i++) {
 			jj_message_t *message = jj_actions_add_message(
--- a/src/core/slots.c
+++ b/src/core/slots.c
@@ -86,8 +86,8 @@
 	free(slots);
 }
 
-jj_slots_learned_t
-jj_slots_learn(jj_slots_t *slots, const jj_slot_info_t *info, jj_ms_t now)
+jj_slots_update_t
+jj_slots_update(jj_slots_t *slots, const jj_slot_info_t *info, jj_ms_t now)
 {
 	jj_slot_server_t *server = jj_slots_find(slots, info->id.text);
 
@@ -105,7 +105,7 @@
 	}
 	if (info->started_ms > server->info.started_ms) {
 		replace_server(slots, server, info, now);
-		return JJ_SLOTS_STARTED_AGAIN;
+		return JJ_SLOTS_RESTARTED;
 	}
 	set_info(slots, server, info);
 	return JJ_SLOTS_KNOWN;
@@ -118,7 +118,7 @@
  * valid.
  */
 jj_slot_server_t *
-jj_slots_settle_claim(jj_slots_t *slots, jj_ms_t now)
+jj_slots_accept_old_start(jj_slots_t *slots, jj_ms_t now)
 {
 	jj_slot_server_t *server;
 	jj_slot_info_t old_start_info;
@@ -161,7 +161,8 @@
 }
 
 void
-jj_slots_drop(jj_slots_t *slots, const char *id, jj_ms_t now, jj_ms_t until)
+jj_slots_note_unlisted(
+    jj_slots_t *slots, const char *id, jj_ms_t now, jj_ms_t until)
 {
 	jj_slot_server_t *server = jj_slots_find(slots, id);
 
@@ -277,7 +278,7 @@
 }
 
 void
-jj_slots_note_hold(jj_slot_server_t *server, jj_ms_t service_ms)
+jj_slots_note_service_time(jj_slot_server_t *server, jj_ms_t service_ms)
 {
 	if (server->service_ms == 0)
 		server->service_ms = (double)service_ms;
@@ -303,7 +304,7 @@
 }
 
 void
-jj_slots_note_doubt(jj_slot_server_t *server, jj_ms_t now)
+jj_slots_note_remote_failure(jj_slot_server_t *server, jj_ms_t now)
 {
 	if (server->failures > 0 ||
 	    now - server->answered_ms < RECENT_ANSWER_MS)
--- a/src/core/slots.h
+++ b/src/core/slots.h
@@ -54,8 +54,8 @@
  * more often.
  */
 typedef enum {
-	JJ_SLOTS_NEAR,
-	JJ_SLOTS_FAR, /**< all VMs */
+	JJ_SLOTS_SCOPE_DOMAIN,
+	JJ_SLOTS_SCOPE_ALL, /**< all VMs */
 } jj_slots_scope_t;
 
 typedef struct {
@@ -121,22 +121,22 @@
 typedef enum {
 	JJ_SLOTS_KNOWN, /**< the known process; its data was updated */
 	JJ_SLOTS_NEW,
-	JJ_SLOTS_STARTED_AGAIN, /**< a later start under a known id */
+	JJ_SLOTS_RESTARTED, /**< a later start under a known id */
 	/**
 	 * An earlier start than the known one: a late write of a process that
 	 * is gone, or the entry of another writer. The server must not be used.
 	 */
 	JJ_SLOTS_OLD_START,
-} jj_slots_learned_t;
+} jj_slots_update_t;
 
 /** Takes a server's entry from the list. */
-jj_slots_learned_t
-jj_slots_learn(jj_slots_t *slots, const jj_slot_info_t *info, jj_ms_t now);
+jj_slots_update_t
+jj_slots_update(jj_slots_t *slots, const jj_slot_info_t *info, jj_ms_t now);
 /**
  * Accepts an earlier start that a server's entry has shown for long enough.
  * @return the server, or NULL when there is none.
  */
-jj_slot_server_t *jj_slots_settle_claim(jj_slots_t *slots, jj_ms_t now);
+jj_slot_server_t *jj_slots_accept_old_start(jj_slots_t *slots, jj_ms_t now);
 /** Called before a complete list is taken; servers not in it are missing. */
 void jj_slots_begin_list(jj_slots_t *slots);
 /**
@@ -150,8 +150,8 @@
  * again by @p until: they get requests until then. A single missing server has
  * left.
  */
-void
-jj_slots_drop(jj_slots_t *slots, const char *id, jj_ms_t now, jj_ms_t until);
+void jj_slots_note_unlisted(
+    jj_slots_t *slots, const char *id, jj_ms_t now, jj_ms_t until);
 /** Removes servers that are gone and run no requests of this VM. */
 void jj_slots_tick(jj_slots_t *slots, jj_ms_t now);
 
@@ -187,14 +187,14 @@
 	 * JJ_MS_NEVER: no limit. A free slot always qualifies.
 	 */
 	jj_ms_t first_within_ms;
-} jj_slots_wish_t;
+} jj_slots_criteria_t;
 
 /**
  * The server for an online request, or NULL when none accepts one.
  * @param full set when servers are up but the queue of each is too long.
  */
 jj_slot_server_t *jj_slots_choose_online(jj_slots_t *slots,
-    const jj_slots_wish_t *criteria, jj_ms_t now, bool *full);
+    const jj_slots_criteria_t *criteria, jj_ms_t now, bool *full);
 /** The server for a batch item, or NULL when none has capacity. */
 jj_slot_server_t *jj_slots_choose_batch(jj_slots_t *slots,
     const jj_name_t *service, const jj_name_t *avoid, jj_ms_t now);
@@ -213,7 +213,7 @@
 void
 jj_slots_note_first(jj_slot_server_t *server, jj_ms_t wait_ms, jj_ms_t now);
 /** Records the service time of an online request that has ended. */
-void jj_slots_note_hold(jj_slot_server_t *server, jj_ms_t service_ms);
+void jj_slots_note_service_time(jj_slot_server_t *server, jj_ms_t service_ms);
 /**
  * Records a failure: the server gets a cool-down, longer with each consecutive
  * failure.
@@ -224,7 +224,7 @@
  * Records that another VM could not connect; ignored when the server answered
  * recently.
  */
-void jj_slots_note_doubt(jj_slot_server_t *server, jj_ms_t now);
+void jj_slots_note_remote_failure(jj_slot_server_t *server, jj_ms_t now);
 /** Records a refusal with its Retry-After (0: it had none). */
 void jj_slots_note_refusal(
     jj_slot_server_t *server, jj_ms_t cooldown_ms, jj_ms_t now);
@@ -241,7 +241,7 @@
  * Loads of this VM that changed since the last report to this scope; marks them
  * as reported.
  */
-uint32_t jj_slots_take_news(jj_slots_t *slots, jj_slots_scope_t scope,
+uint32_t jj_slots_take_changes(jj_slots_t *slots, jj_slots_scope_t scope,
     jj_load_t *loads, uint32_t max_count);
 /**
  * All loads of this VM, for a heartbeat.
@@ -253,6 +253,6 @@
  * Chooses the neighbour with most batch items there, to be asked to cancel one,
  * and counts one item less for it; NULL when no neighbour has any.
  */
-const jj_name_t *jj_slots_ask_to_yield(jj_slot_server_t *server);
+const jj_name_t *jj_slots_choose_vm_to_yield(jj_slot_server_t *server);
 
 #endif
--- a/src/core/slots_choose.c
+++ b/src/core/slots_choose.c
@@ -59,11 +59,11 @@
 #define SAMPLE_SHARES 2
 #define SAMPLE_MIN 3
 
-static jj_slot_server_t *
-choose_server(jj_slots_t *, const jj_slots_wish_t *, jj_ms_t, double, bool *);
+static jj_slot_server_t *choose_server(
+    jj_slots_t *, const jj_slots_criteria_t *, jj_ms_t, double, bool *);
 static bool is_full(const jj_slots_t *, const jj_slot_server_t *);
 static bool is_soon_enough(
-    const jj_slot_server_t *, const jj_slots_wish_t *, double, double);
+    const jj_slot_server_t *, const jj_slots_criteria_t *, double, double);
 static double mean_service_time(const jj_slots_t *, const jj_name_t *, jj_ms_t);
 static double sample_share(const jj_slots_t *, const jj_name_t *);
 static double random_value(const jj_slots_t *, const jj_slot_server_t *);
@@ -77,8 +77,8 @@
     const jj_slot_server_t *, const jj_name_t *, const jj_name_t *, jj_ms_t);
 
 jj_slot_server_t *
-jj_slots_choose_online(
-    jj_slots_t *slots, const jj_slots_wish_t *criteria, jj_ms_t now, bool *full)
+jj_slots_choose_online(jj_slots_t *slots, const jj_slots_criteria_t *criteria,
+    jj_ms_t now, bool *full)
 {
 	jj_slot_server_t *best;
 
@@ -159,8 +159,8 @@
  * VMs.
  */
 static jj_slot_server_t *
-choose_server(jj_slots_t *slots, const jj_slots_wish_t *criteria, jj_ms_t now,
-    double share, bool *full)
+choose_server(jj_slots_t *slots, const jj_slots_criteria_t *criteria,
+    jj_ms_t now, double share, bool *full)
 {
 	double best_ms = fastest(slots, criteria->service, now);
 	double service_ms = mean_service_time(slots, criteria->service, now);
@@ -221,8 +221,8 @@
  * for a late answer, and no request is refused for it.
  */
 static bool
-is_soon_enough(const jj_slot_server_t *server, const jj_slots_wish_t *criteria,
-    double best_ms, double service_ms)
+is_soon_enough(const jj_slot_server_t *server,
+    const jj_slots_criteria_t *criteria, double best_ms, double service_ms)
 {
 	uint32_t online = server->online + server->others_online;
 	double within = (double)criteria->first_within_ms;
--- a/src/core/slots_loads.c
+++ b/src/core/slots_loads.c
@@ -38,8 +38,8 @@
 }
 
 uint32_t
-jj_slots_take_news(jj_slots_t *slots, jj_slots_scope_t scope, jj_load_t *loads,
-    uint32_t max_count)
+jj_slots_take_changes(jj_slots_t *slots, jj_slots_scope_t scope,
+    jj_load_t *loads, uint32_t max_count)
 {
 	jj_slot_server_t *server;
 	uint32_t count = 0;
@@ -57,7 +57,7 @@
 		reported->online = server->online;
 		reported->batch = server->batch;
 		/* A report to all VMs includes those of this domain. */
-		server->reported[JJ_SLOTS_NEAR] = *reported;
+		server->reported[JJ_SLOTS_SCOPE_DOMAIN] = *reported;
 	}
 	return count;
 }
@@ -81,7 +81,7 @@
 }
 
 const jj_name_t *
-jj_slots_ask_to_yield(jj_slot_server_t *server)
+jj_slots_choose_vm_to_yield(jj_slot_server_t *server)
 {
 	jj_slot_neighbour_t *busiest = NULL;
 	size_t i;
--- a/src/core/watch.c
+++ b/src/core/watch.c
@@ -60,7 +60,7 @@
 	return watch->next_ms;
 }
 
-jj_watch_news_t
+jj_watch_update_t
 jj_watch_take_result(
     jj_watch_t *watch, const jj_platform_result_t *result, jj_ms_t now)
 {
--- a/src/core/watch.h
+++ b/src/core/watch.h
@@ -27,7 +27,7 @@
 	JJ_WATCH_NOTHING, /**< no events, or a failure */
 	JJ_WATCH_EVENTS, /**< the result's items are events */
 	JJ_WATCH_LOST, /**< events were lost: read all objects again */
-} jj_watch_news_t;
+} jj_watch_update_t;
 
 /** A watch, embedded in its owner's state. */
 typedef struct {
@@ -46,7 +46,7 @@
 void jj_watch_tick(jj_watch_t *watch, jj_ms_t now, jj_actions_t *out);
 jj_ms_t jj_watch_next(const jj_watch_t *watch);
 /** Takes the result of a poll. */
-jj_watch_news_t jj_watch_take_result(
+jj_watch_update_t jj_watch_take_result(
     jj_watch_t *watch, const jj_platform_result_t *result, jj_ms_t now);
 
 #endif
--- a/src/daemon/node_control.c
+++ b/src/daemon/node_control.c
@@ -140,7 +140,7 @@
 	jj_node_t *node = ctx;
 	event_task_t *task = deferred;
 
-	task->event.body.backend.event.look_cut =
+	task->event.body.backend.event.probe_cut =
 	    jj_health_watch_is_cut(node->health, &task->server);
 	jj_loop_post(node->control, &task->task);
 }
--- a/tests/core/dispatch_test.cc
+++ b/tests/core/dispatch_test.cc
@@ -359,7 +359,7 @@
 	void
 	Event(uint64_t request, uint32_t attempt, jj_backend_kind_t kind,
 	    bool relayed = false, uint32_t tokens = 1, bool resumable = false,
-	    bool look_cut = false)
+	    bool probe_cut = false)
 	{
 		jj_backend_event_t event = {};
 
@@ -369,7 +369,7 @@
 		event.tokens = tokens;
 		event.relayed = relayed;
 		event.resumable = resumable;
-		event.look_cut = look_cut;
+		event.probe_cut = probe_cut;
 		jj_dispatch_take_event(dispatch, &event, now, &out);
 		Drain();
 	}
@@ -1089,11 +1089,11 @@
 	ASSERT_TRUE(jj_member_choose(member_a, &domain,
 	    jj_hash_bytes(server.text, strlen(server.text), 0), &steward));
 	ASSERT_STREQ("vm-a", steward.text) << "choose another server name";
-	EXPECT_EQ(2u, jj_dispatch_batch_room(dispatch, now));
+	EXPECT_EQ(2u, jj_dispatch_batch_capacity(dispatch, now));
 	BeginBatch(1);
 	BeginBatch(2);
 	ASSERT_EQ(2u, starts.size());
-	EXPECT_EQ(0u, jj_dispatch_batch_room(dispatch, now));
+	EXPECT_EQ(0u, jj_dispatch_batch_capacity(dispatch, now));
 	Event(1, 1, JJ_BACKEND_FIRST);
 	Event(1, 1, JJ_BACKEND_TOKENS, false, 9);
 	NeighbourLoad(0, 3, 0);
@@ -1105,9 +1105,9 @@
 	EXPECT_EQ(JJ_GIVE_UP_OVERLOADED, AnswerOf(2)->reason);
 	EXPECT_GT(AnswerOf(2)->retry_after_ms, 0);
 	NeighbourLoad(0, 0, 0);
-	EXPECT_EQ(0u, jj_dispatch_batch_room(dispatch, now));
+	EXPECT_EQ(0u, jj_dispatch_batch_capacity(dispatch, now));
 	Tick(100);
-	EXPECT_EQ(2u, jj_dispatch_batch_room(dispatch, now));
+	EXPECT_EQ(2u, jj_dispatch_batch_capacity(dispatch, now));
 }
 
 // Stories 14 and 10: a batch item of a non-idempotent service is cancelled for
@@ -1149,11 +1149,11 @@
 	Build(1, 8);
 	ConnectNeighbour();
 	NeighbourLoad(0, 100, 0);
-	EXPECT_EQ(0u, jj_dispatch_batch_room(dispatch, now));
+	EXPECT_EQ(0u, jj_dispatch_batch_capacity(dispatch, now));
 	for (int i = 0; i < 6; i++)
 		jj_member_tick(member_a, now += 500, &out);
 	Tick(0);
-	EXPECT_EQ(2u, jj_dispatch_batch_room(dispatch, now));
+	EXPECT_EQ(2u, jj_dispatch_batch_capacity(dispatch, now));
 }
 
 // Stories 18 and 28: a network fault breaks a stream in the middle, or an
@@ -1496,11 +1496,11 @@
 {
 	Build(1, 8);
 	BeginOnline(1);
-	jj_dispatch_leave(dispatch);
+	jj_dispatch_drain(dispatch);
 	BeginOnline(2);
 	ASSERT_NE(nullptr, AnswerOf(2));
 	EXPECT_EQ(JJ_GIVE_UP_STOPPING, AnswerOf(2)->reason);
-	EXPECT_EQ(0u, jj_dispatch_batch_room(dispatch, now));
+	EXPECT_EQ(0u, jj_dispatch_batch_capacity(dispatch, now));
 	EXPECT_TRUE(cancels.empty());
 	Event(1, 1, JJ_BACKEND_DONE);
 	EXPECT_EQ(0u, jj_dispatch_in_flight(dispatch, JJ_CLASS_ONLINE));
@@ -1612,7 +1612,7 @@
 				step = now + STEP_MS;
 			}
 			while (sent_items < items &&
-			    jj_dispatch_batch_room(dispatch, now) > 0) {
+			    jj_dispatch_batch_capacity(dispatch, now) > 0) {
 				BeginBatch(++sent_items);
 				waiting.push_back(sent_items);
 				/* An idle engine begins a step at once. */
--- a/tests/core/dispatch_views_test.cc
+++ b/tests/core/dispatch_views_test.cc
@@ -200,14 +200,14 @@
 
 	List("live", "sala-b");
 	EXPECT_NE(Send(), "");
-	EXPECT_EQ(jj_dispatch_batch_room(dispatch, now), 0u);
+	EXPECT_EQ(jj_dispatch_batch_capacity(dispatch, now), 0u);
 	EXPECT_EQ(jj_dispatch_loads(dispatch, loads, 4), 0u);
 	List("live", "sala-a");
 	EXPECT_EQ(Send(), "near");
-	EXPECT_EQ(jj_dispatch_batch_room(dispatch, now), 2u);
+	EXPECT_EQ(jj_dispatch_batch_capacity(dispatch, now), 2u);
 	EXPECT_EQ(jj_dispatch_loads(dispatch, loads, 4), 1u);
 	List("live", "sala-b");
-	EXPECT_EQ(jj_dispatch_batch_room(dispatch, now), 0u);
+	EXPECT_EQ(jj_dispatch_batch_capacity(dispatch, now), 0u);
 	EXPECT_EQ(jj_dispatch_loads(dispatch, loads, 4), 0u);
 }
 
--- a/tests/core/gateway_queue_test.cc
+++ b/tests/core/gateway_queue_test.cc
@@ -21,7 +21,7 @@
 		for (uint64_t request : running)
 			report_event(request, JJ_BACKEND_FIRST);
 		jj_slots_note_first(server("s1"), 18, now);
-		jj_slots_note_hold(server("s1"), 600);
+		jj_slots_note_service_time(server("s1"), 600);
 	}
 	std::vector<uint64_t> running;
 };
@@ -46,7 +46,7 @@
 TEST_F(GatewayLine, ANewRequestWaitsAtAServerWhoseQueueIsShort)
 {
 	for (int i = 0; i < 60; i++)
-		jj_slots_note_hold(server("s1"), 100);
+		jj_slots_note_service_time(server("s1"), 100);
 	EXPECT_EQ(1U, attempts(begin("/once/1")));
 }
 
@@ -106,7 +106,7 @@
 	ASSERT_EQ("s2", outcomes[moved].servers[0]);
 	report_event(moved, JJ_BACKEND_FIRST, 200, true);
 	running.push_back(begin("/once/1"));
-	jj_slots_note_hold(server("s2"), 600);
+	jj_slots_note_service_time(server("s2"), 600);
 	report_event(moved, JJ_BACKEND_BROKEN, 0, true);
 	EXPECT_EQ(2U, attempts(moved));
 }
--- a/tests/core/slots_test.cc
+++ b/tests/core/slots_test.cc
@@ -52,7 +52,7 @@
 		snprintf(info.address, sizeof(info.address), "10.0.0.1:80");
 		info.slots = places;
 		info.draining = draining;
-		(void)jj_slots_learn(slots, &info, 1000);
+		(void)jj_slots_update(slots, &info, 1000);
 		return jj_slots_find(slots, id);
 	}
 	/** Counts requests of this VM as running there. */
@@ -82,7 +82,7 @@
 
 		if (avoid != nullptr)
 			jj_name_set(&name, avoid);
-		jj_slots_wish_t wish = {
+		jj_slots_criteria_t wish = {
 		    &service, avoid != nullptr ? &name : nullptr, within};
 		server = jj_slots_choose_online(slots, &wish, now, &full);
 		return server != nullptr ? server->info.id.text : "";
@@ -121,7 +121,7 @@
 	EXPECT_EQ("s2", online());
 	jj_slots_note_failure(jj_slots_find(slots, "s2"), 1000);
 	EXPECT_EQ("s1", online());
-	EXPECT_STREQ("verona-2", jj_slots_ask_to_yield(other)->text);
+	EXPECT_STREQ("verona-2", jj_slots_choose_vm_to_yield(other)->text);
 	EXPECT_EQ(3U, other->others_batch);
 }
 
@@ -224,9 +224,9 @@
 	jj_slot_server_t *server = learn("s1");
 
 	jj_slots_note_first(server, 40, 1000);
-	jj_slots_note_doubt(server, 1299);
+	jj_slots_note_remote_failure(server, 1299);
 	EXPECT_EQ("s1", online(nullptr, 1299));
-	jj_slots_note_doubt(server, 1300);
+	jj_slots_note_remote_failure(server, 1300);
 	EXPECT_EQ("", online(nullptr, 1400));
 	EXPECT_EQ("s1", online(nullptr, 1500));
 }
@@ -236,7 +236,7 @@
 	fill(learn("s1"), 0, 0);
 	fill(learn("s2"), 3, 0);
 	EXPECT_EQ("s2", online("s1"));
-	jj_slots_drop(slots, "s2", 1000, 1000);
+	jj_slots_note_unlisted(slots, "s2", 1000, 1000);
 	EXPECT_EQ("s1", online("s1"));
 }
 
@@ -254,7 +254,7 @@
 	EXPECT_EQ("", online(nullptr, 3000));
 	learn("s1");
 	EXPECT_EQ("s1", online(nullptr, 9000));
-	jj_slots_drop(slots, "s1", 9000, 9000);
+	jj_slots_note_unlisted(slots, "s1", 9000, 9000);
 	EXPECT_EQ("", online(nullptr, 9000));
 	jj_slots_tick(slots, 9000);
 	EXPECT_EQ(nullptr, jj_slots_find(slots, "s1"));
@@ -349,14 +349,19 @@
 
 	fill(learn("s1"), 1, 1);
 	learn("s2");
-	ASSERT_EQ(1U, jj_slots_take_news(slots, JJ_SLOTS_NEAR, loads, 4));
+	ASSERT_EQ(
+	    1U, jj_slots_take_changes(slots, JJ_SLOTS_SCOPE_DOMAIN, loads, 4));
 	EXPECT_EQ(1U, loads[0].online);
-	EXPECT_EQ(0U, jj_slots_take_news(slots, JJ_SLOTS_NEAR, loads, 4));
-	EXPECT_EQ(1U, jj_slots_take_news(slots, JJ_SLOTS_FAR, loads, 4))
+	EXPECT_EQ(
+	    0U, jj_slots_take_changes(slots, JJ_SLOTS_SCOPE_DOMAIN, loads, 4));
+	EXPECT_EQ(
+	    1U, jj_slots_take_changes(slots, JJ_SLOTS_SCOPE_ALL, loads, 4))
 	    << "VMs of other domains have no report yet";
 	jj_slots_remove(jj_slots_find(slots, "s1"), JJ_CLASS_BATCH);
-	EXPECT_EQ(1U, jj_slots_take_news(slots, JJ_SLOTS_FAR, loads, 4));
-	EXPECT_EQ(0U, jj_slots_take_news(slots, JJ_SLOTS_NEAR, loads, 4));
+	EXPECT_EQ(
+	    1U, jj_slots_take_changes(slots, JJ_SLOTS_SCOPE_ALL, loads, 4));
+	EXPECT_EQ(
+	    0U, jj_slots_take_changes(slots, JJ_SLOTS_SCOPE_DOMAIN, loads, 4));
 }
 
 TEST_F(Slots, AHeartbeatNamesAllThatItsVmRuns)
