--- a/bench/vms.c
+++ b/bench/vms.c
@@ -113,8 +113,8 @@
 		jj_dispatch_take_crash(vm->dispatch, &server, event->boot,
 		    world_now_ms(world), &actions);
 	else
-		jj_fleet_note(vm->fleet, &server, JJ_SERVER_UP, event->boot,
-		    world_now_ms(world), &actions, &is_news);
+		jj_fleet_note_state(vm->fleet, &server, JJ_SERVER_UP,
+		    event->boot, world_now_ms(world), &actions, &is_news);
 	vms_do_actions_and_tick(world, event->target, &actions);
 }
 
--- a/src/core/core_updates.c
+++ b/src/core/core_updates.c
@@ -99,7 +99,7 @@
 	jj_message_t update = {.kind = JJ_MESSAGE_SERVER_STATE};
 	bool is_new = false;
 
-	jj_fleet_note(core->fleet, &event->body.server.server,
+	jj_fleet_note_state(core->fleet, &event->body.server.server,
 	    event->body.server.state, event->body.server.boot, now, out,
 	    &is_new);
 	if (event->body.server.state == JJ_SERVER_UP)
@@ -262,7 +262,7 @@
 jj_core_awaits_crash_history(const jj_core_t *core, jj_ms_t now)
 {
 	return now < core->crash_history_due_ms &&
-	    jj_member_knows_other(core->member, &core->settings.domain);
+	    jj_member_has_peer_in(core->member, &core->settings.domain);
 }
 
 static void
--- a/src/core/crash_history.c
+++ b/src/core/crash_history.c
@@ -22,7 +22,7 @@
 {
 	jj_name_t name;
 
-	while (jj_member_take_arrival(member, &name))
+	while (jj_member_pop_arrival(member, &name))
 		send_entries(quarantine, &name, true, now, out);
 }
 
--- a/src/core/dispatch.c
+++ b/src/core/dispatch.c
@@ -191,7 +191,7 @@
 	uint32_t count;
 	bool changed;
 
-	jj_fleet_note(
+	jj_fleet_note_state(
 	    dispatch->fleet, server, JJ_SERVER_DOWN, boot, now, out, &changed);
 	if (view == NULL)
 		return;
--- a/src/core/dispatch_failure.c
+++ b/src/core/dispatch_failure.c
@@ -88,7 +88,8 @@
 	bool changed = false;
 	size_t i;
 
-	jj_fleet_note(dispatch->fleet, server, state, boot, now, out, &changed);
+	jj_fleet_note_state(
+	    dispatch->fleet, server, state, boot, now, out, &changed);
 	for (i = 0; changed && i < count; i++) {
 		message = jj_dispatch_add_message(
 		    out, &infos[i], dispatch, JJ_MESSAGE_SERVER_STATE);
--- a/src/core/fleet.c
+++ b/src/core/fleet.c
@@ -157,7 +157,7 @@
 }
 
 void
-jj_fleet_note(jj_fleet_t *fleet, const jj_name_t *server,
+jj_fleet_note_state(jj_fleet_t *fleet, const jj_name_t *server,
     jj_server_state_t state, uint64_t boot, jj_ms_t now, jj_actions_t *out,
     bool *is_changed)
 {
--- a/src/core/fleet.h
+++ b/src/core/fleet.h
@@ -53,7 +53,7 @@
  * @param is_changed set to true when the state is new, so that neighbours have
  * to be notified.
  */
-void jj_fleet_note(jj_fleet_t *fleet, const jj_name_t *server,
+void jj_fleet_note_state(jj_fleet_t *fleet, const jj_name_t *server,
     jj_server_state_t state, uint64_t boot, jj_ms_t now, jj_actions_t *out,
     bool *is_changed);
 /** Takes a server's state that a neighbour reports. */
--- a/src/core/gateway.h
+++ b/src/core/gateway.h
@@ -102,7 +102,7 @@
 	bool repeatable; /**< may be resumed at another server */
 	const jj_inline_job_t *job; /**< job of the item, else NULL */
 	const jj_inline_item_t *item;
-} jj_gateway_start_t;
+} jj_gateway_attempt_t;
 
 typedef struct jj_gateway jj_gateway_t;
 
@@ -121,18 +121,18 @@
  * complete answer. @p text is the whole output of an item that is done; the
  * gateway takes ownership of it.
  */
-void
-jj_gateway_take_backend(jj_gateway_t *gateway, const jj_backend_event_t *event,
-    int status, jj_bytes_t *text, jj_ms_t now, jj_actions_t *out);
+void jj_gateway_take_backend_event(jj_gateway_t *gateway,
+    const jj_backend_event_t *event, int status, jj_bytes_t *text, jj_ms_t now,
+    jj_actions_t *out);
 /** The caller closed its connection. */
-void jj_gateway_take_gone(
+void jj_gateway_take_disconnect(
     jj_gateway_t *gateway, uint64_t request, jj_ms_t now, jj_actions_t *out);
 /**
  * Describes the request's current attempt; false when the request has ended or
  * has none.
  */
-bool jj_gateway_find_start(const jj_gateway_t *gateway, uint64_t request,
-    jj_ms_t now, jj_gateway_start_t *start);
+bool jj_gateway_find_attempt(const jj_gateway_t *gateway, uint64_t request,
+    jj_ms_t now, jj_gateway_attempt_t *start);
 
 /** Takes a job's submission; answers 404 or 503 when no route accepts it. */
 void jj_gateway_submit(jj_gateway_t *gateway, uint64_t operation,
--- a/src/core/gateway_relay.c
+++ b/src/core/gateway_relay.c
@@ -153,7 +153,8 @@
 
 	if (count > JJ_MESSAGE_JOB_STATES_MAX)
 		count = JJ_MESSAGE_JOB_STATES_MAX;
-	message->body.job_states.ack = jj_member_accepted(gateway->member, to);
+	message->body.job_states.ack =
+	    jj_member_last_sequence(gateway->member, to);
 	message->body.job_states.count = count;
 	memcpy(
 	    message->body.job_states.states, states, count * sizeof(states[0]));
--- a/src/core/gateway_requests.c
+++ b/src/core/gateway_requests.c
@@ -92,8 +92,9 @@
 }
 
 void
-jj_gateway_take_backend(jj_gateway_t *gateway, const jj_backend_event_t *event,
-    int status, jj_bytes_t *text, jj_ms_t now, jj_actions_t *out)
+jj_gateway_take_backend_event(jj_gateway_t *gateway,
+    const jj_backend_event_t *event, int status, jj_bytes_t *text, jj_ms_t now,
+    jj_actions_t *out)
 {
 	jj_gateway_entry_t *entry =
 	    jj_gateway_find_entry(gateway, event->request);
@@ -122,7 +123,7 @@
 }
 
 void
-jj_gateway_take_gone(
+jj_gateway_take_disconnect(
     jj_gateway_t *gateway, uint64_t request, jj_ms_t now, jj_actions_t *out)
 {
 	jj_gateway_entry_t *entry = jj_gateway_find_entry(gateway, request);
@@ -136,8 +137,8 @@
 }
 
 bool
-jj_gateway_find_start(const jj_gateway_t *gateway, uint64_t request,
-    jj_ms_t now, jj_gateway_start_t *start)
+jj_gateway_find_attempt(const jj_gateway_t *gateway, uint64_t request,
+    jj_ms_t now, jj_gateway_attempt_t *start)
 {
 	const jj_gateway_entry_t *entry =
 	    jj_gateway_find_entry(gateway, request);
--- a/src/core/inline_submit.c
+++ b/src/core/inline_submit.c
@@ -103,9 +103,9 @@
 fits(const jj_inline_t *jobs, const jj_route_t *route, uint64_t tokens,
     jj_ms_t now)
 {
-	return route->tokens_most == 0 ||
+	return route->max_waiting_tokens == 0 ||
 	    jj_inline_open_tokens(jobs, &route->name, now) + tokens <=
-	    route->tokens_most;
+	    route->max_waiting_tokens;
 }
 
 static void
--- a/src/core/member.c
+++ b/src/core/member.c
@@ -138,7 +138,7 @@
 }
 
 uint64_t
-jj_member_accepted(const jj_member_t *member, const jj_name_t *name)
+jj_member_last_sequence(const jj_member_t *member, const jj_name_t *name)
 {
 	const jj_peer_t *peer = find_peer(member, name);
 
@@ -261,7 +261,7 @@
 }
 
 bool
-jj_member_knows_other(const jj_member_t *member, const jj_name_t *domain)
+jj_member_has_peer_in(const jj_member_t *member, const jj_name_t *domain)
 {
 	size_t i;
 
@@ -272,7 +272,7 @@
 }
 
 bool
-jj_member_take_arrival(jj_member_t *member, jj_name_t *name)
+jj_member_pop_arrival(jj_member_t *member, jj_name_t *name)
 {
 	size_t i;
 
@@ -512,7 +512,8 @@
 	if (now - written <= member->settings.suspect_ms)
 		return true;
 	return peer->info.live && is_newer(peer, written) &&
-	    now - written <= JJ_MEMBER_LATE_TIMES * member->settings.suspect_ms;
+	    now - written <=
+	    JJ_MEMBER_ACK_AGE_FACTOR * member->settings.suspect_ms;
 }
 
 static bool
--- a/src/core/member.h
+++ b/src/core/member.h
@@ -17,7 +17,7 @@
  * heartbeat without such an acknowledgement is answered by a probe instead; its
  * echo counts. A VM that is live stays live while its heartbeats acknowledge
  * newer and newer messages, however long they are in transit
- * (JJ_MEMBER_LATE_TIMES).
+ * (JJ_MEMBER_ACK_AGE_FACTOR).
  *
  * Missing heartbeats make a VM a suspect: it gets no new work. They do not
  * prove that it failed: its work is taken over only after lost_ms without a
@@ -34,7 +34,7 @@
  * way there, the way back and the processing time of a loaded VM. A VM that
  * answers later than that is of no use, and is suspected.
  */
-#define JJ_MEMBER_LATE_TIMES 3
+#define JJ_MEMBER_ACK_AGE_FACTOR 3
 
 typedef struct {
 	jj_name_t name;
@@ -94,7 +94,8 @@
 /**
  * Highest sequence accepted from a VM's process, for acknowledgements; 0: none.
  */
-uint64_t jj_member_accepted(const jj_member_t *member, const jj_name_t *name);
+uint64_t
+jj_member_last_sequence(const jj_member_t *member, const jj_name_t *name);
 /**
  * Earliest time at which a message that acknowledges this sequence can have
  * been written: when the round of heartbeats that it answers was sent.
@@ -137,13 +138,13 @@
 bool jj_member_is_lost(const jj_member_t *member, const jj_name_t *name,
     jj_ms_t since, jj_ms_t now);
 /** True when another VM of that domain is known, live or not. */
-bool jj_member_knows_other(const jj_member_t *member, const jj_name_t *domain);
+bool jj_member_has_peer_in(const jj_member_t *member, const jj_name_t *domain);
 /**
  * Returns, one at a time, the VMs that became live or restarted since they were
  * last returned: they may have missed notifications meanwhile. False when none
  * is left.
  */
-bool jj_member_take_arrival(jj_member_t *member, jj_name_t *name);
+bool jj_member_pop_arrival(jj_member_t *member, jj_name_t *name);
 /**
  * Lists the live VMs of a domain, ordered by name, with this VM if it belongs
  * there.
--- a/src/core/member_state.h
+++ b/src/core/member_state.h
@@ -47,7 +47,7 @@
 	jj_peer_stats_t log_stats;
 	/**
 	 * became live or restarted, and not yet returned by
-	 * jj_member_take_arrival()
+	 * jj_member_pop_arrival()
 	 */
 	bool arrival_pending;
 } jj_peer_t;
--- a/src/core/route.c
+++ b/src/core/route.c
@@ -191,7 +191,8 @@
 bool
 jj_route_is_repeatable(const jj_route_t *route)
 {
-	return route->kind == JJ_ROUTE_SAFE || route->kind == JJ_ROUTE_BATCH ||
+	return route->kind == JJ_ROUTE_IDEMPOTENT ||
+	    route->kind == JJ_ROUTE_BATCH ||
 	    (route->kind == JJ_ROUTE_STREAM && route->resumable);
 }
 
--- a/src/core/route.h
+++ b/src/core/route.h
@@ -13,9 +13,9 @@
 
 /** Which requests of a route may be repeated. */
 typedef enum {
-	JJ_ROUTE_SAFE, /**< idempotent: may run more than once */
+	JJ_ROUTE_IDEMPOTENT, /**< idempotent: may run more than once */
 	/** not idempotent: at most once for each attempt of the caller */
-	JJ_ROUTE_ONCE,
+	JJ_ROUTE_NON_IDEMPOTENT,
 	JJ_ROUTE_STREAM, /**< event streams; at most once unless resumable */
 	JJ_ROUTE_BATCH, /**< accepts whole batch jobs */
 } jj_route_kind_t;
@@ -44,7 +44,7 @@
 	/** of a job: time after which its items may be abandoned */
 	jj_ms_t retention_ms;
 	/** maximum number of waiting tokens, 0: no limit */
-	uint64_t tokens_most;
+	uint64_t max_waiting_tokens;
 	jj_route_backend_t *backends;
 	uint32_t backend_count; /**< 0: no usable service is known */
 } jj_route_t;
--- a/src/daemon/gateway_events.c
+++ b/src/daemon/gateway_events.c
@@ -201,12 +201,12 @@
 		jj_gateway_begin(core, &event->request, now, out);
 		break;
 	case EVENT_CALLER_GONE:
-		jj_gateway_take_gone(core, event->number, now, out);
+		jj_gateway_take_disconnect(core, event->number, now, out);
 		drop_exchange(node, event->number);
 		break;
 	case EVENT_BACKEND:
-		jj_gateway_take_backend(core, &event->backend, event->status,
-		    &event->text, now, out);
+		jj_gateway_take_backend_event(core, &event->backend,
+		    event->status, &event->text, now, out);
 		break;
 	case EVENT_MESSAGE:
 		jj_gateway_take_message(core, event->message, now, out);
@@ -337,9 +337,9 @@
 start_backend(
     jj_gateway_node_t *node, const jj_backend_start_t *start, jj_ms_t now)
 {
-	jj_gateway_start_t where;
+	jj_gateway_attempt_t where;
 
-	if (!jj_gateway_find_start(node->core, start->request, now, &where) ||
+	if (!jj_gateway_find_attempt(node->core, start->request, now, &where) ||
 	    !jj_name_equal(&where.server, &start->server))
 		return;
 	if (where.item != NULL &&
--- a/src/daemon/stream_relay.c
+++ b/src/daemon/stream_relay.c
@@ -175,7 +175,7 @@
 
 void
 jj_stream_relay_start(jj_stream_relay_t *relay, uint64_t request,
-    uint32_t number, const jj_gateway_start_t *start)
+    uint32_t number, const jj_gateway_attempt_t *start)
 {
 	const jj_front_headers_t *names = &relay->deployment->headers;
 	jj_http_request_t http = {0};
--- a/src/daemon/stream_relay.h
+++ b/src/daemon/stream_relay.h
@@ -60,7 +60,7 @@
 bool jj_stream_relay_has(jj_stream_relay_t *relay, uint64_t request);
 /** Sends an attempt to a server. */
 void jj_stream_relay_start(jj_stream_relay_t *relay, uint64_t request,
-    uint32_t attempt, const jj_gateway_start_t *start);
+    uint32_t attempt, const jj_gateway_attempt_t *start);
 /** Cancels an attempt; no more events of it are reported. */
 void jj_stream_relay_cancel(
     jj_stream_relay_t *relay, uint64_t request, uint32_t attempt);
--- a/tests/adapters/stream_relay_test.cc
+++ b/tests/adapters/stream_relay_test.cc
@@ -91,7 +91,7 @@
 	start(const std::string &id)
 	{
 		jj_stream_exchange_t exchange = {};
-		jj_gateway_start_t start = {};
+		jj_gateway_attempt_t start = {};
 
 		exchange.request = 1;
 		exchange.call = caller;
--- a/tests/core/dispatch_test.cc
+++ b/tests/core/dispatch_test.cc
@@ -433,7 +433,7 @@
 		bool is_news;
 
 		now += 60000;
-		jj_fleet_note(
+		jj_fleet_note_state(
 		    fleet, &name, JJ_SERVER_UP, boot, now, &out, &is_news);
 		Tick(200);
 	}
@@ -1263,7 +1263,8 @@
 	std::string first = starts[0].server;
 	jj_name_t name = Name(first);
 	// A neighbour has reported the crash already.
-	jj_fleet_note(fleet, &name, JJ_SERVER_DOWN, 7, now, &out, &is_news);
+	jj_fleet_note_state(
+	    fleet, &name, JJ_SERVER_DOWN, 7, now, &out, &is_news);
 	Event(1, 1, JJ_BACKEND_BROKEN, false, 0, true);
 	Tick(CRASH_PROPAGATION_MS);
 	ASSERT_EQ(2u, starts.size());
@@ -1537,8 +1538,8 @@
 		NeighbourLoad(
 		    starts[0].server.back() - '0', row.others_online, 0);
 		if (row.leaving)
-			jj_fleet_note(fleet, &home, JJ_SERVER_LEAVING, 0, now,
-			    &out, &is_news);
+			jj_fleet_note_state(fleet, &home, JJ_SERVER_LEAVING, 0,
+			    now, &out, &is_news);
 		request.request = 2;
 		Begin(request);
 		ASSERT_EQ(2u, starts.size());
--- a/tests/core/dispatch_views_test.cc
+++ b/tests/core/dispatch_views_test.cc
@@ -102,7 +102,8 @@
 		jj_name_t name = Name(server);
 		bool is_news;
 
-		jj_fleet_note(fleet, &name, state, 7, now, &out, &is_news);
+		jj_fleet_note_state(
+		    fleet, &name, state, 7, now, &out, &is_news);
 		Tick();
 	}
 	void
--- a/tests/core/fleet_test.cc
+++ b/tests/core/fleet_test.cc
@@ -64,7 +64,8 @@
 		bool changed;
 
 		(void)jj_name_set(&name, server.c_str());
-		jj_fleet_note(fleet, &name, state, boot, now, &out, &changed);
+		jj_fleet_note_state(
+		    fleet, &name, state, boot, now, &out, &changed);
 		return changed;
 	}
 	void
--- a/tests/core/gateway_borrow_test.cc
+++ b/tests/core/gateway_borrow_test.cc
@@ -106,7 +106,7 @@
 	event.request = 1;
 	event.attempt = 1;
 	event.kind = JJ_BACKEND_NOT_SENT;
-	jj_gateway_take_backend(gateway, &event, 0, nullptr, now, &out);
+	jj_gateway_take_backend_event(gateway, &event, 0, nullptr, now, &out);
 	carry_out("verona-1", &out);
 	run(2 * FLEET_STEP_MS);
 	for (const char *name : {"verona-1", "verona-2", "verona-3"}) {
--- a/tests/core/gateway_fixture.h
+++ b/tests/core/gateway_fixture.h
@@ -228,7 +228,7 @@
 		event.attempt = (uint32_t)outcomes[request].servers.size();
 		event.kind = kind;
 		event.relayed = relayed;
-		jj_gateway_take_backend(
+		jj_gateway_take_backend_event(
 		    gateway, &event, status, &text, now, &out);
 		jj_bytes_free(&text);
 		run_actions();
--- a/tests/core/gateway_fleet.h
+++ b/tests/core/gateway_fleet.h
@@ -235,7 +235,7 @@
 		event.request = last;
 		event.attempt = 1;
 		event.kind = kind;
-		jj_gateway_take_backend(
+		jj_gateway_take_backend_event(
 		    vms[name].gateway, &event, 0, &text, now, &out);
 		carry_out(name, &out);
 	}
--- a/tests/core/gateway_items_fleet_test.cc
+++ b/tests/core/gateway_items_fleet_test.cc
@@ -244,7 +244,7 @@
 		event.request = of.request;
 		event.attempt = of.attempt;
 		event.kind = kind;
-		jj_gateway_take_backend(
+		jj_gateway_take_backend_event(
 		    vms[of.vm].gateway, &event, status, &text, now, &out);
 		jj_bytes_free(&text);
 		carry_out(of.vm, &out);
--- a/tests/core/gateway_queue_test.cc
+++ b/tests/core/gateway_queue_test.cc
@@ -90,7 +90,7 @@
 	uint64_t stays = begin("/once/1", 0, 3000);
 	uint64_t leaves = begin("/once/1", 0, 3000);
 
-	jj_gateway_take_gone(gateway, leaves, now, &out);
+	jj_gateway_take_disconnect(gateway, leaves, now, &out);
 	run_actions();
 	report_event(running[0], JJ_BACKEND_DONE, 200, true);
 	EXPECT_EQ(0U, attempts(leaves));
--- a/tests/core/gateway_test.cc
+++ b/tests/core/gateway_test.cc
@@ -175,7 +175,7 @@
 {
 	uint64_t request = begin("/once/1");
 
-	jj_gateway_take_gone(gateway, request, now, &out);
+	jj_gateway_take_disconnect(gateway, request, now, &out);
 	run_actions();
 	EXPECT_EQ(1U, outcomes[request].cancelled.size());
 	EXPECT_EQ(0U, server("s1")->online);
--- a/tests/core/inline_stop_test.cc
+++ b/tests/core/inline_stop_test.cc
@@ -84,7 +84,7 @@
 /* A job's tokens count while its new owner is still reading it. */
 TEST_F(InlineStopFailure, AJobThatIsReadCounts)
 {
-	route.tokens_most = 25;
+	route.max_waiting_tokens = 25;
 	(void)b.submit("j", 2);
 	pass(300);
 	take_over();
--- a/tests/core/inline_world.h
+++ b/tests/core/inline_world.h
@@ -134,7 +134,7 @@
 	route.attempts = 3;
 	route.run_due_ms = 18000;
 	route.retention_ms = 60000;
-	route.tokens_most = 1000;
+	route.max_waiting_tokens = 1000;
 	route.backend_count = 1;
 }
 
--- a/tests/core/load_world.h
+++ b/tests/core/load_world.h
@@ -341,7 +341,7 @@
 		event.request = run.request;
 		event.attempt = run.attempt;
 		event.kind = kind;
-		jj_gateway_take_backend(vms[run.vm].gateway, &event,
+		jj_gateway_take_backend_event(vms[run.vm].gateway, &event,
 		    kind == JJ_BACKEND_DONE ? 200 : 0, &text, now, &out);
 		carry_out(run.vm, &out);
 	}
@@ -377,7 +377,7 @@
 
 			callers.erase(request);
 			second_of(caller).lost += !caller.first;
-			jj_gateway_take_gone(
+			jj_gateway_take_disconnect(
 			    vms[caller.vm].gateway, request, now, &out);
 			carry_out(caller.vm, &out);
 		}
--- a/tests/core/route_test.cc
+++ b/tests/core/route_test.cc
@@ -168,9 +168,9 @@
 {
 	jj_route_t route = {};
 
-	route.kind = JJ_ROUTE_SAFE;
+	route.kind = JJ_ROUTE_IDEMPOTENT;
 	EXPECT_TRUE(jj_route_is_repeatable(&route));
-	route.kind = JJ_ROUTE_ONCE;
+	route.kind = JJ_ROUTE_NON_IDEMPOTENT;
 	EXPECT_FALSE(jj_route_is_repeatable(&route));
 	route.kind = JJ_ROUTE_STREAM;
 	EXPECT_FALSE(jj_route_is_repeatable(&route));
--- a/tests/platform/objects_test.cc
+++ b/tests/platform/objects_test.cc
@@ -230,7 +230,7 @@
 	EXPECT_EQ(JJ_ROUTE_BATCH, routes.routes[1].kind);
 	EXPECT_EQ(18000, routes.routes[1].run_due_ms);
 	EXPECT_EQ(60000, routes.routes[1].retention_ms);
-	EXPECT_EQ(1400000U, routes.routes[1].tokens_most);
+	EXPECT_EQ(1400000U, routes.routes[1].max_waiting_tokens);
 	jj_routes_clear(&routes);
 	jj_bytes_free(&object);
 }
