--- a/src/core/core.c
+++ b/src/core/core.c
@@ -532,7 +532,7 @@
 		    jj_config_service(core->config, servers[i].service.text);
 		if (service == NULL || service->model_wish.model[0] == '\0')
 			continue;
-		jj_orders_wish(core->orders, &servers[i].name,
+		jj_orders_set_desired(core->orders, &servers[i].name,
 		    service->model_wish.model, service->model_wish.version,
 		    service->model_wish.role, now);
 	}
--- a/src/core/gateway.c
+++ b/src/core/gateway.c
@@ -70,7 +70,7 @@
 	gateway->slots = jj_slots_create(&settings->slots);
 	gateway->settings.jobs.relay_wait_ms =
 	    settings->news_ms / RELAY_POLLS_PER_PERIOD;
-	gateway->settings.jobs.relay_fresh_ms =
+	gateway->settings.jobs.relay_timeout_ms =
 	    settings->news_ms * RELAY_FRESH_TENTHS / 10;
 	gateway->jobs = jj_inline_create(&gateway->settings.jobs, &jobs);
 	TAILQ_INIT(&gateway->sent);
--- a/src/core/gateway_relay.c
+++ b/src/core/gateway_relay.c
@@ -67,9 +67,9 @@
 	duty = choose_duty(gateway);
 	if (duty != gateway->config_mirror.duty)
 		jj_actions_add_event(out, "watch_duty", "duty=%s",
-		    duty == JJ_MIRROR_ALONE	   ? "alone"
-			: duty == JJ_MIRROR_RELAYS ? "relays"
-						   : "listens");
+		    duty == JJ_MIRROR_STANDALONE  ? "alone"
+			: duty == JJ_MIRROR_RELAY ? "relays"
+						  : "listens");
 	jj_mirror_set_duty(&gateway->config_mirror, duty, now);
 	jj_mirror_set_duty(&gateway->servers_mirror, duty, now);
 	jj_inline_set_duty(gateway->jobs, duty, now);
@@ -197,8 +197,8 @@
 			is_first = false;
 	}
 	if (local_count < RELAY_MIN_VMS)
-		return JJ_MIRROR_ALONE;
-	return is_first ? JJ_MIRROR_RELAYS : JJ_MIRROR_LISTENS;
+		return JJ_MIRROR_STANDALONE;
+	return is_first ? JJ_MIRROR_RELAY : JJ_MIRROR_LISTENER;
 }
 
 static void
--- a/src/core/gateway_requests.c
+++ b/src/core/gateway_requests.c
@@ -513,7 +513,7 @@
     const jj_backend_event_t *event, int status, jj_bytes_t *text, jj_ms_t now,
     jj_actions_t *out)
 {
-	jj_inline_end_t end = JJ_INLINE_DONE;
+	jj_inline_item_end_t end = JJ_INLINE_DONE;
 
 	if (!entry->first_seen)
 		jj_slots_note_first(entry->server, now - entry->sent_ms, now);
--- a/src/core/inline.c
+++ b/src/core/inline.c
@@ -44,7 +44,7 @@
 }
 
 void
-jj_inline_forget(jj_inline_t *jobs, uint64_t operation)
+jj_inline_abandon(jj_inline_t *jobs, uint64_t operation)
 {
 	jj_inline_op_t *op;
 
--- a/src/core/inline.h
+++ b/src/core/inline.h
@@ -50,12 +50,12 @@
 	 * False when this VM receives no heartbeats at all: it may itself be
 	 * the one that is disconnected.
 	 */
-	bool (*hears_others)(void *ctx);
+	bool (*receives_any_heartbeat)(void *ctx);
 	/**
 	 * True while heartbeats of some VM are missing: that VM may take over
 	 * jobs of this one.
 	 */
-	bool (*misses_some)(void *ctx);
+	bool (*misses_any_heartbeat)(void *ctx);
 	/**
 	 * Time when the platform became reachable again; 0: it was never
 	 * unreachable.
@@ -114,7 +114,7 @@
 	/** Delay from changes of open entries to the next watch. */
 	jj_ms_t mirror_spacing_ms;
 	jj_ms_t relay_wait_ms; /**< see core/mirror.h */
-	jj_ms_t relay_fresh_ms;
+	jj_ms_t relay_timeout_ms;
 	/** A VM's report of its jobs is valid for this long. */
 	jj_ms_t state_fresh_ms;
 	jj_ms_t retry_after_ms; /**< sent to refused callers */
@@ -125,7 +125,7 @@
 	JJ_INLINE_DONE, /**< its output is complete */
 	JJ_INLINE_FAILED, /**< the server ran it and failed */
 	JJ_INLINE_REFUSED, /**< it can never succeed */
-} jj_inline_end_t;
+} jj_inline_item_end_t;
 
 typedef struct jj_inline jj_inline_t;
 
@@ -153,10 +153,10 @@
 /**
  * Ends a job for its client. Answers 200 once the end is durable, or 404, 503.
  */
-void jj_inline_end(jj_inline_t *jobs, uint64_t operation, const char *id,
+void jj_inline_end_job(jj_inline_t *jobs, uint64_t operation, const char *id,
     jj_ms_t now, jj_actions_t *out);
 /** The caller of an operation disconnected. */
-void jj_inline_forget(jj_inline_t *jobs, uint64_t operation);
+void jj_inline_abandon(jj_inline_t *jobs, uint64_t operation);
 /**
  * Handles the notification that another VM ended a job that this one may run.
  */
@@ -188,7 +188,7 @@
 
 /** A run of an item ended; @p text is moved out when it is JJ_INLINE_DONE. */
 void jj_inline_end_item(jj_inline_t *jobs, uint64_t request,
-    jj_inline_end_t end, jj_bytes_t *text, jj_ms_t now, jj_actions_t *out);
+    jj_inline_item_end_t end, jj_bytes_t *text, jj_ms_t now, jj_actions_t *out);
 /** The item of a request, or NULL when its job does not run here. */
 const jj_inline_item_t *jj_inline_find_item(
     const jj_inline_t *jobs, uint64_t request, const jj_inline_job_t **job);
--- a/src/core/inline_op.c
+++ b/src/core/inline_op.c
@@ -90,7 +90,7 @@
 }
 
 void
-jj_inline_end(jj_inline_t *jobs, uint64_t operation, const char *id,
+jj_inline_end_job(jj_inline_t *jobs, uint64_t operation, const char *id,
     jj_ms_t now, jj_actions_t *out)
 {
 	jj_inline_op_t *op = jj_inline_add_op(jobs, JJ_OP_END, operation, id,
--- a/src/core/inline_open.c
+++ b/src/core/inline_open.c
@@ -44,7 +44,7 @@
 	    JJ_INLINE_OPEN, jobs->settings.mirror_wait_ms,
 	    jobs->settings.mirror_spacing_ms, jobs->settings.retry_ms,
 	    jobs->settings.retry_most_ms, jobs->settings.relay_wait_ms,
-	    jobs->settings.relay_fresh_ms};
+	    jobs->settings.relay_timeout_ms};
 	jj_mirror_port_t port = {
 	    jobs, begin_list, take_entry, drop_entry, end_list, relay};
 
@@ -385,7 +385,7 @@
 	if (entry->lost_ms == JJ_MS_NEVER ||
 	    entry->lost_ms < jobs->port.reached_ms(jobs->port.ctx))
 		entry->lost_ms = now;
-	if (!jobs->port.hears_others(jobs->port.ctx))
+	if (!jobs->port.receives_any_heartbeat(jobs->port.ctx))
 		delay_ms = jobs->settings.alone_ms;
 	if (entry->owner[0] == '\0')
 		delay_ms = 0;
--- a/src/core/inline_ownership.c
+++ b/src/core/inline_ownership.c
@@ -63,7 +63,7 @@
 {
 	jj_platform_call_t *call;
 
-	if (jobs->port.misses_some(jobs->port.ctx))
+	if (jobs->port.misses_any_heartbeat(jobs->port.ctx))
 		jobs->heartbeat_missing_ms = now;
 	if (TAILQ_EMPTY(&jobs->runs) || jobs->check.token != 0 ||
 	    !jobs->mirror.listed || now - jobs->check_ms < CHECK_INTERVAL_MS ||
--- a/src/core/inline_publish.c
+++ b/src/core/inline_publish.c
@@ -286,7 +286,7 @@
 			break;
 	if (i == run->job.item_count)
 		return;
-	if (run->items[i].state == JJ_ITEM_BEGUN)
+	if (run->items[i].state == JJ_ITEM_STARTED)
 		jobs->port.cancel_item(jobs->port.ctx, run->items[i].request);
 	run->items[i].state = JJ_ITEM_PUBLISHED;
 	jj_bytes_free(&run->items[i].text);
--- a/src/core/inline_run.c
+++ b/src/core/inline_run.c
@@ -173,7 +173,7 @@
 		return run->tokens;
 	for (i = 0; i < run->job.item_count; i++)
 		if (run->items[i].state == JJ_ITEM_IDLE ||
-		    run->items[i].state == JJ_ITEM_BEGUN)
+		    run->items[i].state == JJ_ITEM_STARTED)
 			tokens += run->job.items[i].tokens;
 	return tokens;
 }
@@ -260,8 +260,8 @@
 }
 
 void
-jj_inline_end_item(jj_inline_t *jobs, uint64_t request, jj_inline_end_t end,
-    jj_bytes_t *text, jj_ms_t now, jj_actions_t *out)
+jj_inline_end_item(jj_inline_t *jobs, uint64_t request,
+    jj_inline_item_end_t end, jj_bytes_t *text, jj_ms_t now, jj_actions_t *out)
 {
 	jj_inline_item_run_t *item = NULL;
 	jj_inline_run_t *run;
@@ -272,7 +272,7 @@
 	TAILQ_FOREACH(run, &jobs->runs, link)
 	{
 		for (i = 0; run->items != NULL && i < run->job.item_count; i++)
-			if (run->items[i].state == JJ_ITEM_BEGUN &&
+			if (run->items[i].state == JJ_ITEM_STARTED &&
 			    run->items[i].request == request)
 				item = &run->items[i];
 		if (item != NULL)
@@ -329,7 +329,7 @@
 	{
 		for (i = 0; run->items != NULL && i < run->job.item_count;
 		     i++) {
-			if (run->items[i].state != JJ_ITEM_BEGUN ||
+			if (run->items[i].state != JJ_ITEM_STARTED ||
 			    run->items[i].request != request)
 				continue;
 			*job = &run->job;
@@ -450,7 +450,7 @@
 	if (item->state != JJ_ITEM_IDLE || now < item->retry_at_ms ||
 	    jobs->leaving)
 		return;
-	item->state = JJ_ITEM_BEGUN;
+	item->state = JJ_ITEM_STARTED;
 	item->request = jobs->port.begin_item(jobs->port.ctx, &run->job,
 	    &run->job.items[i], route, run->due_ms, run->retention_ms);
 }
@@ -462,7 +462,7 @@
 
 	if (item->state == JJ_ITEM_FINISHED || item->state == JJ_ITEM_PUBLISHED)
 		return;
-	if (item->state == JJ_ITEM_BEGUN)
+	if (item->state == JJ_ITEM_STARTED)
 		jobs->port.cancel_item(jobs->port.ctx, item->request);
 	item->state = JJ_ITEM_FINISHED;
 	item->done = false;
@@ -475,7 +475,7 @@
 	size_t i;
 
 	for (i = 0; run->items != NULL && i < run->job.item_count; i++) {
-		if (run->items[i].state != JJ_ITEM_BEGUN)
+		if (run->items[i].state != JJ_ITEM_STARTED)
 			continue;
 		jobs->port.cancel_item(jobs->port.ctx, run->items[i].request);
 		run->items[i].state = JJ_ITEM_IDLE;
--- a/src/core/inline_state.h
+++ b/src/core/inline_state.h
@@ -70,7 +70,7 @@
 
 typedef enum {
 	JJ_ITEM_IDLE, /**< not started, or waiting to be retried */
-	JJ_ITEM_BEGUN, /**< queued for a server, or at one */
+	JJ_ITEM_STARTED, /**< queued for a server, or at one */
 	JJ_ITEM_FINISHED, /**< has a result that is not published yet */
 	JJ_ITEM_PUBLISHED,
 } jj_inline_item_state_t;
--- a/src/core/inline_watchdog.c
+++ b/src/core/inline_watchdog.c
@@ -169,7 +169,7 @@
 		counts->backing_off +=
 		    item->state == JJ_ITEM_IDLE && now < item->retry_at_ms;
 		counts->finished += item->state == JJ_ITEM_FINISHED;
-		if (item->state != JJ_ITEM_BEGUN)
+		if (item->state != JJ_ITEM_STARTED)
 			continue;
 		counts->started++;
 		attempts = 0;
--- a/src/core/mirror.c
+++ b/src/core/mirror.c
@@ -56,7 +56,7 @@
 	(void)snprintf(call->key, sizeof(call->key), "%s", settings->prefix);
 	if (mirror->listed) {
 		call->version = mirror->since;
-		call->wait_ms = mirror->duty == JJ_MIRROR_RELAYS
+		call->wait_ms = mirror->duty == JJ_MIRROR_RELAY
 		    ? settings->relay_wait_ms
 		    : settings->wait_ms;
 		return;
@@ -88,7 +88,7 @@
 jj_mirror_take_relay(jj_mirror_t *mirror, uint64_t from, uint64_t to,
     const jj_platform_item_t *items, size_t count, jj_ms_t now)
 {
-	if (mirror->duty != JJ_MIRROR_LISTENS || !mirror->listed)
+	if (mirror->duty != JJ_MIRROR_LISTENER || !mirror->listed)
 		return;
 	if (from > mirror->since) {
 		mirror->relayed_ms = JJ_MS_NEVER;
@@ -208,7 +208,7 @@
 	uint64_t from = mirror->since;
 
 	apply(mirror, result->version, result->items, result->item_count);
-	if (mirror->duty == JJ_MIRROR_RELAYS && port->relay != NULL)
+	if (mirror->duty == JJ_MIRROR_RELAY && port->relay != NULL)
 		port->relay(port->ctx, mirror->settings.token, from,
 		    result->version, result->items, result->item_count);
 	mirror->next_ms = now;
@@ -265,10 +265,10 @@
 {
 	jj_ms_t relay_due;
 
-	if (mirror->duty != JJ_MIRROR_LISTENS || !mirror->listed ||
+	if (mirror->duty != JJ_MIRROR_LISTENER || !mirror->listed ||
 	    mirror->relayed_ms == JJ_MS_NEVER)
 		return mirror->next_ms;
-	relay_due = mirror->relayed_ms + mirror->settings.relay_fresh_ms;
+	relay_due = mirror->relayed_ms + mirror->settings.relay_timeout_ms;
 	return relay_due > mirror->next_ms ? relay_due : mirror->next_ms;
 }
 
--- a/src/core/mirror.h
+++ b/src/core/mirror.h
@@ -29,14 +29,14 @@
 	jj_ms_t backoff_most_ms;
 	jj_ms_t relay_wait_ms; /**< like wait_ms, for a relay's calls */
 	/** A listener polls after this long without a relayed poll. */
-	jj_ms_t relay_fresh_ms;
+	jj_ms_t relay_timeout_ms;
 } jj_mirror_settings_t;
 
 /** Whether a mirror polls, and for whom. */
 typedef enum {
-	JJ_MIRROR_ALONE, /**< polls for itself */
-	JJ_MIRROR_RELAYS, /**< polls, and forwards each result */
-	JJ_MIRROR_LISTENS, /**< receives relayed polls; polls when they stop */
+	JJ_MIRROR_STANDALONE, /**< polls for itself */
+	JJ_MIRROR_RELAY, /**< polls, and forwards each result */
+	JJ_MIRROR_LISTENER, /**< receives relayed polls; polls when they stop */
 } jj_mirror_duty_t;
 
 /** Callbacks of the owner of the table. */
--- a/src/core/orders.c
+++ b/src/core/orders.c
@@ -105,8 +105,8 @@
 }
 
 void
-jj_orders_wish(jj_orders_t *orders, const jj_name_t *server, const char *model,
-    const char *version, const char *role, jj_ms_t now)
+jj_orders_set_desired(jj_orders_t *orders, const jj_name_t *server,
+    const char *model, const char *version, const char *role, jj_ms_t now)
 {
 	target_t *target = find_target(orders, server);
 	engine_state_t desired;
--- a/src/core/orders.h
+++ b/src/core/orders.h
@@ -34,7 +34,7 @@
 /**
  * Sets what a server is to have loaded, and its role; replaces the last one.
  */
-void jj_orders_wish(jj_orders_t *orders, const jj_name_t *server,
+void jj_orders_set_desired(jj_orders_t *orders, const jj_name_t *server,
     const char *model, const char *version, const char *role, jj_ms_t now);
 /**
  * Handles the answer to an order: @p status 200 applied, 409 refused for its
--- a/src/daemon/gateway_events.c
+++ b/src/daemon/gateway_events.c
@@ -218,7 +218,7 @@
 		handle_operation(node, event, now, out);
 		break;
 	case EVENT_ABANDON:
-		jj_inline_forget(
+		jj_inline_abandon(
 		    jj_gateway_jobs(core, now, out), event->number);
 		break;
 	case EVENT_LEAVE:
@@ -247,7 +247,7 @@
 		jj_inline_read_item(
 		    jobs, event->number, call->job, call->item, now, out);
 	else
-		jj_inline_end(jobs, event->number, call->job, now, out);
+		jj_inline_end_job(jobs, event->number, call->job, now, out);
 	jj_gateway_step(node->core, now, out);
 }
 
--- a/tests/core/gateway_items_fleet_test.cc
+++ b/tests/core/gateway_items_fleet_test.cc
@@ -43,7 +43,7 @@
 	{
 		for (size_t i = 0;
 		     run->items != nullptr && i < run->job.item_count; i++) {
-			if (run->items[i].state != JJ_ITEM_BEGUN)
+			if (run->items[i].state != JJ_ITEM_STARTED)
 				continue;
 			uint64_t request = run->items[i].request;
 
--- a/tests/core/inline_test.cc
+++ b/tests/core/inline_test.cc
@@ -151,7 +151,7 @@
 
 struct EndCase {
 	const char *name;
-	jj_inline_end_t how;
+	jj_inline_item_end_t how;
 	int runs; /**< until the item is given up */
 };
 
--- a/tests/core/inline_world.h
+++ b/tests/core/inline_world.h
@@ -88,7 +88,7 @@
 	uint64_t end(const std::string &id);
 	/** Ends the run of an item that this VM has started. */
 	bool finish(const std::string &item, const std::string &text,
-	    jj_inline_end_t how = JJ_INLINE_DONE);
+	    jj_inline_item_end_t how = JJ_INLINE_DONE);
 	void finish_all(const std::string &text);
 	/** Executes the requested actions; a watch stays pending. */
 	void run_actions();
@@ -217,7 +217,7 @@
 
 /** Heartbeats are missing while any VM is lost, or by order of the test. */
 inline bool
-misses_some(void *ctx)
+misses_any_heartbeat(void *ctx)
 {
 	return vm(ctx)->world.heartbeats_missing ||
 	    vm(ctx)->world.lost_writers.size() > 0;
@@ -230,7 +230,7 @@
 }
 
 inline bool
-hears_others(void *ctx)
+receives_any_heartbeat(void *ctx)
 {
 	return vm(ctx)->world.vms.size() >
 	    vm(ctx)->world.lost_writers.size() + 1;
@@ -315,12 +315,12 @@
 {
 	jj_inline_settings_t settings = {};
 	jj_inline_port_t port = {this, inline_port::is_live, inline_port::rank,
-	    inline_port::hears_others, inline_port::misses_some,
-	    inline_port::reached_ms, inline_port::find_route,
-	    inline_port::unix_ms, inline_port::begin_item,
-	    inline_port::cancel_item, inline_port::is_item_sent,
-	    inline_port::write_page, inline_port::relay,
-	    inline_port::notify_ended};
+	    inline_port::receives_any_heartbeat,
+	    inline_port::misses_any_heartbeat, inline_port::reached_ms,
+	    inline_port::find_route, inline_port::unix_ms,
+	    inline_port::begin_item, inline_port::cancel_item,
+	    inline_port::is_item_sent, inline_port::write_page,
+	    inline_port::relay, inline_port::notify_ended};
 
 	snprintf(
 	    settings.writer, sizeof(settings.writer), "%s", writer.c_str());
@@ -407,14 +407,14 @@
 {
 	uint64_t operation = next_operation();
 
-	jj_inline_end(jobs, operation, id.c_str(), world.now, &out);
+	jj_inline_end_job(jobs, operation, id.c_str(), world.now, &out);
 	run_actions();
 	return operation;
 }
 
 inline bool
 InlineVm::finish(
-    const std::string &item, const std::string &text, jj_inline_end_t how)
+    const std::string &item, const std::string &text, jj_inline_item_end_t how)
 {
 	for (auto &entry : items) {
 		if (entry.second != item)
--- a/tests/core/mirror_test.cc
+++ b/tests/core/mirror_test.cc
@@ -192,7 +192,7 @@
 
 TEST_F(Mirror, ARelayForwardsEachPoll)
 {
-	jj_mirror_set_duty(&mirror, JJ_MIRROR_RELAYS, now);
+	jj_mirror_set_duty(&mirror, JJ_MIRROR_RELAY, now);
 	list(50);
 	EXPECT_EQ("watch 50 600", tick(0));
 	answer(JJ_PLATFORM_WATCH, JJ_PLATFORM_OK, 51);
@@ -205,7 +205,7 @@
 {
 	jj_platform_item_t update = item("s/b", 55);
 
-	jj_mirror_set_duty(&mirror, JJ_MIRROR_LISTENS, now);
+	jj_mirror_set_duty(&mirror, JJ_MIRROR_LISTENER, now);
 	list(50);
 	jj_mirror_take_relay(&mirror, 50, 55, &update, 1, now);
 	EXPECT_EQ(2U, table.size());
@@ -222,7 +222,7 @@
  */
 TEST_F(MirrorFailure, AListenerPollsWhenRelayedPollsStop)
 {
-	jj_mirror_set_duty(&mirror, JJ_MIRROR_LISTENS, now);
+	jj_mirror_set_duty(&mirror, JJ_MIRROR_LISTENER, now);
 	list(50);
 	jj_mirror_take_relay(&mirror, 50, 55, nullptr, 0, now);
 	EXPECT_EQ("watch 55 20000", tick(1400));
@@ -236,7 +236,7 @@
  */
 TEST_F(MirrorFailure, ARelayedPollEndsAFailure)
 {
-	jj_mirror_set_duty(&mirror, JJ_MIRROR_LISTENS, now);
+	jj_mirror_set_duty(&mirror, JJ_MIRROR_LISTENER, now);
 	list(50);
 	jj_mirror_take_relay(&mirror, 50, 55, nullptr, 0, now);
 	EXPECT_EQ("watch 55 20000", tick(1400));
@@ -263,7 +263,7 @@
 
 	deletion.deleted = true;
 	left.deleted = true;
-	jj_mirror_set_duty(&mirror, JJ_MIRROR_LISTENS, now);
+	jj_mirror_set_duty(&mirror, JJ_MIRROR_LISTENER, now);
 	list(50);
 	EXPECT_EQ("watch 50 20000", tick(0));
 	answer(
@@ -285,7 +285,7 @@
 {
 	jj_platform_item_t update = item("s/c", 70);
 
-	jj_mirror_set_duty(&mirror, JJ_MIRROR_LISTENS, now);
+	jj_mirror_set_duty(&mirror, JJ_MIRROR_LISTENER, now);
 	list(50);
 	jj_mirror_take_relay(&mirror, 50, 55, nullptr, 0, now);
 	jj_mirror_take_relay(&mirror, 60, 70, &update, 1, now);
@@ -357,7 +357,7 @@
 	jj_platform_item_t update = item("s/a", 60);
 	jj_platform_item_t old = item("s/a", 51);
 
-	jj_mirror_set_duty(&mirror, JJ_MIRROR_LISTENS, now);
+	jj_mirror_set_duty(&mirror, JJ_MIRROR_LISTENER, now);
 	list(50);
 	EXPECT_EQ("watch 50 20000", tick(0));
 	jj_mirror_take_relay(&mirror, 50, 60, &update, 1, now);
--- a/tests/core/orders_test.cc
+++ b/tests/core/orders_test.cc
@@ -76,7 +76,7 @@
 	{
 		jj_name_t at = name(server);
 
-		jj_orders_wish(orders, &at, model, "1", role, now);
+		jj_orders_set_desired(orders, &at, model, "1", role, now);
 	}
 	void
 	answer(const Sent &sent, int status, jj_ms_t now,
