--- a/bench/slopes/batch_slopes.c
+++ b/bench/slopes/batch_slopes.c
@@ -398,7 +398,7 @@
 	uint32_t running =
 	    jj_batch_counts(bench->workers[worker]).items_running;
 
-	jj_batch_set_room(bench->workers[worker],
+	jj_batch_set_free_capacity(bench->workers[worker],
 	    running < bench->max_running ? bench->max_running - running : 0);
 }
 
--- a/src/core/batch.c
+++ b/src/core/batch.c
@@ -74,7 +74,7 @@
 }
 
 void
-jj_batch_set_room(jj_batch_t *batch, uint32_t items)
+jj_batch_set_free_capacity(jj_batch_t *batch, uint32_t items)
 {
 	batch->free_capacity = items;
 }
@@ -96,7 +96,7 @@
 }
 
 void
-jj_batch_take_death(
+jj_batch_mark_writer_failed(
     jj_batch_t *batch, const char *writer, jj_ms_t now, jj_actions_t *out)
 {
 	jj_job_table_mark_failed(&batch->jobs, writer);
--- a/src/core/batch.h
+++ b/src/core/batch.h
@@ -43,7 +43,7 @@
 	JJ_ITEM_DONE, /**< answered; body and status are the response */
 	JJ_ITEM_REFUSED, /**< permanently refused; recorded as failed */
 	JJ_ITEM_NOT_RUN, /**< verifiably not run; may be retried */
-	JJ_ITEM_BROKEN, /**< may have run; retried only if idempotent */
+	JJ_ITEM_OUTCOME_UNKNOWN, /**< may have run; retried only if idempotent */
 	JJ_ITEM_WITHDRAWN, /**< cancelled in favour of online requests; retried
 				without counting as an attempt */
 	JJ_ITEM_POISON, /**< crashes backend servers; recorded as failed */
@@ -63,7 +63,7 @@
 /**
  * Sets the callback that returns how many items of a service this VM may run
  * at the same time; -1 when it has no share of the service's backend servers.
- * Without a callback only jj_batch_set_room limits the running items.
+ * Without a callback only jj_batch_set_free_capacity limits the running items.
  */
 void jj_batch_set_limits(jj_batch_t *batch,
     int32_t (*limit)(void *ctx, const char *service), void *ctx);
@@ -71,7 +71,7 @@
  * Sets how many more items this VM's backend servers can take now. The worker
  * claims chunks and sends items (JJ_ACTION_ITEM_READY) up to this number.
  */
-void jj_batch_set_room(jj_batch_t *batch, uint32_t items);
+void jj_batch_set_free_capacity(jj_batch_t *batch, uint32_t items);
 /**
  * Handles an event of the domain's watch relay for a key below `jobs/` or
  * `active/`. Events are only hints: they may be late or lost. An empty @p key
@@ -80,7 +80,7 @@
 void jj_batch_take_change(jj_batch_t *batch, const char *key, uint64_t version,
     jj_ms_t now, jj_actions_t *out);
 /** Marks a VM's process as failed: its claims may be taken over at once. */
-void jj_batch_take_death(
+void jj_batch_mark_writer_failed(
     jj_batch_t *batch, const char *writer, jj_ms_t now, jj_actions_t *out);
 /**
  * Ends the run of an item. @p status and @p body: the backend server's answer.
--- a/src/core/intake.c
+++ b/src/core/intake.c
@@ -137,7 +137,7 @@
 {
 	size_t taken = 0;
 
-	while (taken < size && jj_intake_wants_more(intake)) {
+	while (taken < size && jj_intake_accepts_input(intake)) {
 		const char *start = data + taken;
 		const char *end = memchr(start, '\n', size - taken);
 		size_t run = end == NULL ? size - taken : (size_t)(end - start);
@@ -206,7 +206,7 @@
 }
 
 bool
-jj_intake_wants_more(const jj_intake_t *intake)
+jj_intake_accepts_input(const jj_intake_t *intake)
 {
 	return intake->state == JJ_INTAKE_OPEN && !intake->finishing &&
 	    intake->write_count < intake->settings.parts_pending;
--- a/src/core/intake.h
+++ b/src/core/intake.h
@@ -53,7 +53,7 @@
 /** Time at which jj_intake_tick is due next; JJ_MS_NEVER for nothing. */
 jj_ms_t jj_intake_next(const jj_intake_t *intake);
 /** True when jj_intake_feed would consume bytes. */
-bool jj_intake_wants_more(const jj_intake_t *intake);
+bool jj_intake_accepts_input(const jj_intake_t *intake);
 
 typedef enum {
 	JJ_INTAKE_OPEN, /**< under way */
--- a/src/daemon/node_batch.c
+++ b/src/daemon/node_batch.c
@@ -239,7 +239,8 @@
 		    node->batch, task->text, task->number, now, &actions);
 		break;
 	case BATCH_VM_LOST:
-		jj_batch_take_death(node->batch, task->text, now, &actions);
+		jj_batch_mark_writer_failed(
+		    node->batch, task->text, now, &actions);
 		break;
 	case BATCH_SHARES:
 		node->share_count = task->share_count;
@@ -317,7 +318,8 @@
 
 	for (i = 0; i < node->share_count; i++)
 		limit += node->shares[i].limit;
-	jj_batch_set_room(node->batch, limit > running ? limit - running : 0);
+	jj_batch_set_free_capacity(
+	    node->batch, limit > running ? limit - running : 0);
 }
 
 static void
--- a/src/daemon/node_finish.c
+++ b/src/daemon/node_finish.c
@@ -161,7 +161,7 @@
 	case JJ_GIVE_UP_OVERLOADED:
 		return JJ_ITEM_WITHDRAWN;
 	default:
-		return JJ_ITEM_BROKEN;
+		return JJ_ITEM_OUTCOME_UNKNOWN;
 	}
 }
 
--- a/src/daemon/node_uploads.c
+++ b/src/daemon/node_uploads.c
@@ -118,7 +118,7 @@
 	jj_intake_take_result(
 	    upload->intake, result, jj_monotonic_now(), &actions);
 	if (!upload->answered && !upload->complete &&
-	    (jj_intake_wants_more(upload->intake) ||
+	    (jj_intake_accepts_input(upload->intake) ||
 		jj_intake_state(upload->intake) != JJ_INTAKE_OPEN))
 		jj_http_call_continue(upload->call);
 	(void)apr_thread_mutex_unlock(upload->lock);
--- a/tests/core/batch_fleet.h
+++ b/tests/core/batch_fleet.h
@@ -198,7 +198,7 @@
 	{
 		Worker &worker = *workers[index];
 
-		jj_batch_set_room(worker.batch, worker.free_capacity);
+		jj_batch_set_free_capacity(worker.batch, worker.free_capacity);
 		jj_batch_tick(worker.batch, now, &worker.actions);
 		collect(worker);
 	}
@@ -265,8 +265,8 @@
 
 		workers[index] = std::make_unique<Worker>(name, next_seed++);
 		for (auto &worker : workers) {
-			jj_batch_take_death(worker->batch, writer.c_str(), now,
-			    &worker->actions);
+			jj_batch_mark_writer_failed(worker->batch,
+			    writer.c_str(), now, &worker->actions);
 			collect(*worker);
 		}
 	}
@@ -277,7 +277,7 @@
 	{
 		Worker &worker = *workers[receiver];
 
-		jj_batch_take_death(worker.batch,
+		jj_batch_mark_writer_failed(worker.batch,
 		    workers[running_worker]->writer.c_str(), now,
 		    &worker.actions);
 		collect(worker);
--- a/tests/core/batch_model_test.cc
+++ b/tests/core/batch_model_test.cc
@@ -51,7 +51,7 @@
 		fleet.step(0, Fault::kRefuse);
 		break;
 	case kBreakA:
-		fleet.end(0, JJ_ITEM_BROKEN);
+		fleet.end(0, JJ_ITEM_OUTCOME_UNKNOWN);
 		break;
 	case kLapse:
 		fleet.now += 18001;
--- a/tests/core/intake_test.cc
+++ b/tests/core/intake_test.cc
@@ -92,7 +92,7 @@
 
 			at += jj_intake_feed(
 			    intake, text.data() + at, size, now, &actions);
-			if (!jj_intake_wants_more(intake))
+			if (!jj_intake_accepts_input(intake))
 				run();
 		}
 		jj_intake_finish(intake, now, &actions);
@@ -235,10 +235,10 @@
 	    jj_intake_feed(u.intake, text.data(), text.size(), 0, &u.actions);
 	EXPECT_EQ(taken, lines(6).size())
 	    << "not stopped at two pending parts of three lines";
-	EXPECT_FALSE(jj_intake_wants_more(u.intake));
+	EXPECT_FALSE(jj_intake_accepts_input(u.intake));
 	EXPECT_EQ(jj_intake_feed(u.intake, "x", 1, 0, &u.actions), 0u);
 	u.run(1);
-	EXPECT_TRUE(jj_intake_wants_more(u.intake));
+	EXPECT_TRUE(jj_intake_accepts_input(u.intake));
 }
 
 /*
