--- a/bench/world.h
+++ b/bench/world.h
@@ -36,7 +36,7 @@
 	int64_t first_us; /**< time of its first token; 0: none */
 	int64_t end_us;
 	call_state_t state;
-	jj_give_up_t reason;
+	jj_failure_t reason;
 	uint32_t starts; /**< number of attempts sent to a server */
 	uint32_t vm;
 	bool poison;
--- a/src/adapters/wire.c
+++ b/src/adapters/wire.c
@@ -232,17 +232,17 @@
 LAYOUT(crash_layout, jj_message_t, crash_fields);
 
 static const field_t struck_entry_fields[] = {
-    FIELD(FIELD_U64, jj_struck_t, fingerprint),
-    FIELD(FIELD_I64, jj_struck_t, age_ms),
-    ARRAY(FIELD_ARRAY, jj_struck_t, deaths, death_count, JJ_MESSAGE_DEATHS_MAX,
-	&suspect_layout),
+    FIELD(FIELD_U64, jj_crash_record_t, fingerprint),
+    FIELD(FIELD_I64, jj_crash_record_t, age_ms),
+    ARRAY(FIELD_ARRAY, jj_crash_record_t, deaths, death_count,
+	JJ_MESSAGE_CRASHES_MAX, &suspect_layout),
 };
-LAYOUT(struck_entry_layout, jj_struck_t, struck_entry_fields);
+LAYOUT(struck_entry_layout, jj_crash_record_t, struck_entry_fields);
 
 static const field_t struck_fields[] = {
     FIELD(FIELD_BOOL, jj_message_t, body.struck.asks),
     ARRAY(FIELD_ARRAY, jj_message_t, body.struck.entries, body.struck.count,
-	JJ_MESSAGE_STRUCK_MAX, &struck_entry_layout),
+	JJ_MESSAGE_CRASH_HISTORY_MAX, &struck_entry_layout),
 };
 LAYOUT(struck_layout, jj_message_t, struck_fields);
 
@@ -298,13 +298,13 @@
 LAYOUT(relay_layout, jj_message_t, relay_fields);
 
 static const field_t job_state_fields[] = {
-    FIELD(FIELD_U64, jj_job_standing_t, job),
-    FIELD(FIELD_U64, jj_job_standing_t, route),
-    FIELD(FIELD_U64, jj_job_standing_t, tokens),
-    FIELD(FIELD_U32, jj_job_standing_t, total),
-    FIELD(FIELD_U32, jj_job_standing_t, shown),
+    FIELD(FIELD_U64, jj_job_progress_t, job),
+    FIELD(FIELD_U64, jj_job_progress_t, route),
+    FIELD(FIELD_U64, jj_job_progress_t, tokens),
+    FIELD(FIELD_U32, jj_job_progress_t, total),
+    FIELD(FIELD_U32, jj_job_progress_t, shown),
 };
-LAYOUT(job_state_layout, jj_job_standing_t, job_state_fields);
+LAYOUT(job_state_layout, jj_job_progress_t, job_state_fields);
 
 static const field_t job_states_fields[] = {
     FIELD(FIELD_U64, jj_message_t, body.job_states.ack),
@@ -323,7 +323,7 @@
     [JJ_MESSAGE_HEARTBEAT] = &heartbeat_layout,
     [JJ_MESSAGE_PROBE] = &nonce_layout,
     [JJ_MESSAGE_PROBE_ECHO] = &nonce_layout,
-    [JJ_MESSAGE_CONFIG_ASK] = &config_layout,
+    [JJ_MESSAGE_CONFIG_REQUEST] = &config_layout,
     [JJ_MESSAGE_CONFIG] = &config_layout,
     [JJ_MESSAGE_LOAD] = &loads_layout,
     [JJ_MESSAGE_CALL] = &call_layout,
@@ -342,9 +342,9 @@
     [JJ_MESSAGE_JOB_ENDED] = &job_ended_layout,
     [JJ_MESSAGE_RELAY] = &relay_layout,
     [JJ_MESSAGE_JOB_STATES] = &job_states_layout,
-    [JJ_MESSAGE_STRUCK] = &struck_layout,
-    [JJ_MESSAGE_LEND] = &lend_layout,
-    [JJ_MESSAGE_LENT] = &lent_layout,
+    [JJ_MESSAGE_CRASH_HISTORY] = &struck_layout,
+    [JJ_MESSAGE_BORROW] = &lend_layout,
+    [JJ_MESSAGE_BORROW_RESULT] = &lent_layout,
     [JJ_MESSAGE_JOB_READ] = &job_page_layout,
     [JJ_MESSAGE_JOB_PAGE] = &job_page_layout,
 };
--- a/src/core/action.c
+++ b/src/core/action.c
@@ -10,7 +10,7 @@
 #include "core/action.h"
 
 const char *
-jj_give_up_name(jj_give_up_t reason)
+jj_failure_name(jj_failure_t reason)
 {
 	static const char *const names[] = {"none", "no_server", "overloaded",
 	    "deadline", "retries", "quarantined", "broken", "stopping",
@@ -124,7 +124,7 @@
 		message->body.heartbeat.loads = NULL;
 		break;
 	case JJ_MESSAGE_CONFIG:
-	case JJ_MESSAGE_CONFIG_ASK:
+	case JJ_MESSAGE_CONFIG_REQUEST:
 		jj_bytes_free(&message->body.config.document);
 		break;
 	case JJ_MESSAGE_CALL:
@@ -152,14 +152,14 @@
 	case JJ_MESSAGE_RELAY:
 		jj_bytes_free(&message->body.relay.events);
 		break;
-	case JJ_MESSAGE_LEND:
+	case JJ_MESSAGE_BORROW:
 		jj_bytes_free(&message->body.lend.value);
 		break;
 	case JJ_MESSAGE_JOB_READ:
 	case JJ_MESSAGE_JOB_PAGE:
 		jj_bytes_free(&message->body.job_page.page);
 		break;
-	case JJ_MESSAGE_LENT:
+	case JJ_MESSAGE_BORROW_RESULT:
 		jj_bytes_free(&message->body.lent.value);
 		break;
 	case JJ_MESSAGE_JOBS:
@@ -178,7 +178,7 @@
 	    [JJ_MESSAGE_HEARTBEAT] = "heartbeat",
 	    [JJ_MESSAGE_PROBE] = "probe",
 	    [JJ_MESSAGE_PROBE_ECHO] = "probe_echo",
-	    [JJ_MESSAGE_CONFIG_ASK] = "config_ask",
+	    [JJ_MESSAGE_CONFIG_REQUEST] = "config_ask",
 	    [JJ_MESSAGE_CONFIG] = "config",
 	    [JJ_MESSAGE_LOAD] = "load",
 	    [JJ_MESSAGE_CALL] = "call",
@@ -197,9 +197,9 @@
 	    [JJ_MESSAGE_JOB_ENDED] = "job_ended",
 	    [JJ_MESSAGE_RELAY] = "relay",
 	    [JJ_MESSAGE_JOB_STATES] = "job_states",
-	    [JJ_MESSAGE_STRUCK] = "struck",
-	    [JJ_MESSAGE_LEND] = "lend",
-	    [JJ_MESSAGE_LENT] = "lent",
+	    [JJ_MESSAGE_CRASH_HISTORY] = "struck",
+	    [JJ_MESSAGE_BORROW] = "lend",
+	    [JJ_MESSAGE_BORROW_RESULT] = "lent",
 	    [JJ_MESSAGE_JOB_READ] = "job_read",
 	    [JJ_MESSAGE_JOB_PAGE] = "job_page",
 	};
--- a/src/core/action.h
+++ b/src/core/action.h
@@ -46,30 +46,30 @@
 
 /** Why a request ends without a backend server's answer. */
 typedef enum {
-	JJ_GIVE_UP_NONE,
-	JJ_GIVE_UP_NO_SERVER, /**< no server for the service is up here */
-	JJ_GIVE_UP_OVERLOADED, /**< queue full, or waited too long */
-	JJ_GIVE_UP_DEADLINE, /**< cannot be met, or has passed */
-	JJ_GIVE_UP_RETRIES, /**< attempts or retry budget exhausted */
-	JJ_GIVE_UP_QUARANTINED, /**< it crashes backend servers */
-	JJ_GIVE_UP_BROKEN, /**< the server failed in the middle of its answer */
-	JJ_GIVE_UP_STOPPING, /**< this VM is leaving */
+	JJ_FAILURE_NONE,
+	JJ_FAILURE_NO_SERVER, /**< no server for the service is up here */
+	JJ_FAILURE_OVERLOADED, /**< queue full, or waited too long */
+	JJ_FAILURE_DEADLINE, /**< cannot be met, or has passed */
+	JJ_FAILURE_RETRIES, /**< attempts or retry budget exhausted */
+	JJ_FAILURE_QUARANTINED, /**< it crashes backend servers */
+	JJ_FAILURE_BROKEN, /**< the server failed in the middle of its answer */
+	JJ_FAILURE_STOPPING, /**< this VM is leaving */
 	/** no configuration yet, or a newer one exists */
-	JJ_GIVE_UP_NO_CONFIG,
-	JJ_GIVE_UP_CANCELLED,
-	JJ_GIVE_UP_NO_SERVICE, /**< the configuration has no such service */
-} jj_give_up_t;
+	JJ_FAILURE_NO_CONFIG,
+	JJ_FAILURE_CANCELLED,
+	JJ_FAILURE_NO_SERVICE, /**< the configuration has no such service */
+} jj_failure_t;
 
 /** Whether a request was run, as its final answer states it. */
 typedef enum {
 	JJ_RUN_NOT_RUN, /**< no byte can have reached a backend server */
 	JJ_RUN_UNKNOWN,
-	JJ_RUN_RUN,
+	JJ_RUN_RAN,
 } jj_run_t;
 
 typedef struct {
 	uint64_t request;
-	jj_give_up_t reason;
+	jj_failure_t reason;
 	jj_run_t run;
 	jj_ms_t retry_after_ms; /**< 0: do not retry */
 } jj_answer_t;
@@ -151,7 +151,7 @@
 typedef TAILQ_HEAD(jj_action_list, jj_action) jj_actions_t;
 
 /** Short name of the reason, for log lines. */
-const char *jj_give_up_name(jj_give_up_t reason);
+const char *jj_failure_name(jj_failure_t reason);
 /** Appends an action of a kind, zeroed, to be filled in. */
 jj_action_t *jj_actions_add(jj_actions_t *actions, jj_action_kind_t kind);
 /** Appends a message of a kind to a VM and returns it to be filled in. */
--- a/src/core/batch_backlog.c
+++ b/src/core/batch_backlog.c
@@ -27,7 +27,7 @@
 };
 
 static void
-refuse(jj_batch_backlog_t *, waiter_t *, jj_give_up_t, jj_actions_t *);
+refuse(jj_batch_backlog_t *, waiter_t *, jj_failure_t, jj_actions_t *);
 static void remove_waiter(jj_batch_backlog_t *, waiter_t *);
 
 jj_batch_backlog_t *
@@ -92,7 +92,7 @@
 		    !jj_dispatch_has_share(
 			dispatch, &waiter->request.service, now)) {
 			refuse(
-			    batch_backlog, waiter, JJ_GIVE_UP_OVERLOADED, out);
+			    batch_backlog, waiter, JJ_FAILURE_OVERLOADED, out);
 			continue;
 		}
 		if (jj_name_equal(&waiter->request.service, &full))
@@ -112,7 +112,7 @@
 {
 	while (!TAILQ_EMPTY(&batch_backlog->waiters))
 		refuse(batch_backlog, TAILQ_FIRST(&batch_backlog->waiters),
-		    JJ_GIVE_UP_STOPPING, out);
+		    JJ_FAILURE_STOPPING, out);
 }
 
 uint32_t
@@ -123,7 +123,7 @@
 
 /** Refuses a request, as not run. */
 static void
-refuse(jj_batch_backlog_t *batch_backlog, waiter_t *waiter, jj_give_up_t reason,
+refuse(jj_batch_backlog_t *batch_backlog, waiter_t *waiter, jj_failure_t reason,
     jj_actions_t *out)
 {
 	jj_action_t *action = jj_actions_add(out, JJ_ACTION_ANSWER);
--- a/src/core/core.c
+++ b/src/core/core.c
@@ -137,9 +137,9 @@
 	case JJ_EVENT_BACKEND:
 		jj_core_take_backend(core, event, now, out);
 		break;
-	case JJ_EVENT_GONE:
+	case JJ_EVENT_CALLER_GONE:
 		jj_core_cancel_request(
-		    core, event->body.request_gone, now, out);
+		    core, event->body.disconnected_request, now, out);
 		break;
 	case JJ_EVENT_CRASH:
 		jj_dispatch_take_crash(core->dispatch,
@@ -152,7 +152,7 @@
 	case JJ_EVENT_REPORT:
 		take_report(core, event, now);
 		break;
-	case JJ_EVENT_ORDERED:
+	case JJ_EVENT_ORDER_ANSWER:
 		take_ordered(core, event, now, out);
 		break;
 	case JJ_EVENT_PATCH:
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -52,11 +52,11 @@
 	JJ_EVENT_PLATFORM, /**< the result of a platform call of this core */
 	JJ_EVENT_REQUEST, /**< from a caller, or a batch item */
 	JJ_EVENT_BACKEND, /**< progress of a request at a backend server */
-	JJ_EVENT_GONE, /**< the caller of a request has disconnected */
+	JJ_EVENT_CALLER_GONE, /**< the caller of a request has disconnected */
 	JJ_EVENT_CRASH, /**< the process of a backend server crashed */
 	JJ_EVENT_SERVER, /**< a backend server reported its state */
 	JJ_EVENT_REPORT, /**< a backend server's load report */
-	JJ_EVENT_ORDERED, /**< the answer to an order */
+	JJ_EVENT_ORDER_ANSWER, /**< the answer to an order */
 	JJ_EVENT_PATCH, /**< an operator's patch of the configuration */
 	/** an operator declares a ledger slot's history lost */
 	JJ_EVENT_RELEASE,
@@ -82,7 +82,7 @@
 			int status; /**< of a complete answer */
 			jj_bytes_t body; /**< of a complete answer; only read */
 		} backend;
-		uint64_t request_gone;
+		uint64_t disconnected_request;
 		struct {
 			jj_name_t server;
 			uint64_t boot;
--- a/src/core/core_requests.c
+++ b/src/core/core_requests.c
@@ -13,7 +13,7 @@
     jj_ms_t, jj_actions_t *);
 static void end_call(jj_core_t *, uint64_t, jj_call_outcome_t, int,
     const jj_bytes_t *, jj_ms_t, jj_ms_t, jj_actions_t *);
-static void refuse_request(jj_actions_t *, const jj_event_t *, jj_give_up_t);
+static void refuse_request(jj_actions_t *, const jj_event_t *, jj_failure_t);
 static void refuse_unknown_key(jj_actions_t *, uint64_t);
 
 void
@@ -24,7 +24,7 @@
 	jj_request_t request = event->body.request.request;
 
 	if (jj_config_version(core->config) == 0) {
-		refuse_request(out, event, JJ_GIVE_UP_NO_CONFIG);
+		refuse_request(out, event, JJ_FAILURE_NO_CONFIG);
 		return;
 	}
 	service = jj_config_service(core->config, request.service.text);
@@ -33,8 +33,8 @@
 		refuse_request(out, event,
 		    jj_member_newest_config(core->member) >
 			    jj_config_version(core->config)
-			? JJ_GIVE_UP_NO_CONFIG
-			: JJ_GIVE_UP_NO_SERVICE);
+			? JJ_FAILURE_NO_CONFIG
+			: JJ_FAILURE_NO_SERVICE);
 		return;
 	}
 	request.idempotent = service->idempotent;
@@ -138,7 +138,7 @@
 	jj_call_t call = {0};
 
 	if (core->leaving) {
-		refuse_request(out, event, JJ_GIVE_UP_STOPPING);
+		refuse_request(out, event, JJ_FAILURE_STOPPING);
 		return;
 	}
 	if (service->key_domain_count == 0) {
@@ -177,7 +177,7 @@
  * run".
  */
 static void
-refuse_request(jj_actions_t *out, const jj_event_t *event, jj_give_up_t reason)
+refuse_request(jj_actions_t *out, const jj_event_t *event, jj_failure_t reason)
 {
 	jj_action_t *action = jj_actions_add(out, JJ_ACTION_ANSWER);
 
@@ -185,7 +185,7 @@
 	action->body.answer.reason = reason;
 	action->body.answer.run =
 	    event->body.request.key != NULL ? JJ_RUN_UNKNOWN : JJ_RUN_NOT_RUN;
-	if (reason != JJ_GIVE_UP_NO_SERVICE)
+	if (reason != JJ_FAILURE_NO_SERVICE)
 		action->body.answer.retry_after_ms = JJ_CALL_RETRY_AFTER_MS;
 }
 
--- a/src/core/core_updates.c
+++ b/src/core/core_updates.c
@@ -52,7 +52,7 @@
 	case JJ_MESSAGE_HEARTBEAT:
 		take_heartbeat(core, message, now, out);
 		break;
-	case JJ_MESSAGE_CONFIG_ASK:
+	case JJ_MESSAGE_CONFIG_REQUEST:
 		if (message->body.config.version <
 		    jj_config_version(core->config))
 			send_config(core, &message->from, out);
@@ -74,7 +74,7 @@
 		take_server_down(core, &message->body.crash, now);
 		relay_between_domains(core, message, out);
 		break;
-	case JJ_MESSAGE_STRUCK:
+	case JJ_MESSAGE_CRASH_HISTORY:
 		take_crash_history(core, message, now, out);
 		break;
 	case JJ_MESSAGE_SERVER_STATE:
@@ -278,7 +278,7 @@
 	    now >= core->next_config_request_ms) {
 		core->next_config_request_ms = now + CONFIG_REQUEST_SPACING_MS;
 		request = jj_actions_add_message(
-		    out, &message->from, JJ_MESSAGE_CONFIG_ASK);
+		    out, &message->from, JJ_MESSAGE_CONFIG_REQUEST);
 		request->body.config.version = jj_config_version(core->config);
 	}
 	if (jj_name_equal(&heartbeat->domain, &core->settings.domain) &&
@@ -484,7 +484,7 @@
 		    jj_actions_add_message(out, &infos[i].name, message->kind);
 		if (message->kind == JJ_MESSAGE_CRASH)
 			copy->body.crash = message->body.crash;
-		else if (message->kind == JJ_MESSAGE_STRUCK) {
+		else if (message->kind == JJ_MESSAGE_CRASH_HISTORY) {
 			copy->body.struck = message->body.struck;
 			copy->body.struck.asks = false;
 		} else
--- a/src/core/crash_history.c
+++ b/src/core/crash_history.c
@@ -11,7 +11,7 @@
  * 2.7 KB. More within the time that a crash counts would not be single requests
  * that crash servers.
  */
-#define ENTRIES_MAX ((size_t)2 * JJ_MESSAGE_STRUCK_MAX)
+#define ENTRIES_MAX ((size_t)2 * JJ_MESSAGE_CRASH_HISTORY_MAX)
 
 static void send_entries(
     const jj_quarantine_t *, const jj_name_t *, bool, jj_ms_t, jj_actions_t *);
@@ -42,7 +42,7 @@
 send_entries(const jj_quarantine_t *quarantine, const jj_name_t *to,
     bool request_reply, jj_ms_t now, jj_actions_t *out)
 {
-	jj_struck_t entries[ENTRIES_MAX];
+	jj_crash_record_t entries[ENTRIES_MAX];
 	size_t count =
 	    jj_quarantine_list(quarantine, now, entries, ENTRIES_MAX);
 	jj_message_t *message;
@@ -51,9 +51,10 @@
 
 	do {
 		part = count - sent;
-		if (part > JJ_MESSAGE_STRUCK_MAX)
-			part = JJ_MESSAGE_STRUCK_MAX;
-		message = jj_actions_add_message(out, to, JJ_MESSAGE_STRUCK);
+		if (part > JJ_MESSAGE_CRASH_HISTORY_MAX)
+			part = JJ_MESSAGE_CRASH_HISTORY_MAX;
+		message =
+		    jj_actions_add_message(out, to, JJ_MESSAGE_CRASH_HISTORY);
 		message->body.struck.asks = request_reply && sent == 0;
 		message->body.struck.count = (uint32_t)part;
 		memcpy(message->body.struck.entries, entries + sent,
--- a/src/core/dispatch.c
+++ b/src/core/dispatch.c
@@ -82,20 +82,20 @@
 	    dispatch->quarantine, request->fingerprint, now);
 	if (dispatch->leaving)
 		jj_dispatch_refuse(
-		    dispatch, request, JJ_GIVE_UP_STOPPING, now, out);
+		    dispatch, request, JJ_FAILURE_STOPPING, now, out);
 	else if (jj_config_version(dispatch->config) == 0)
 		jj_dispatch_refuse(
-		    dispatch, request, JJ_GIVE_UP_NO_CONFIG, now, out);
+		    dispatch, request, JJ_FAILURE_NO_CONFIG, now, out);
 	else if (service == NULL)
 		jj_dispatch_refuse(
-		    dispatch, request, JJ_GIVE_UP_NO_SERVICE, now, out);
+		    dispatch, request, JJ_FAILURE_NO_SERVICE, now, out);
 	else if (request->class_of == JJ_CLASS_ONLINE &&
 	    request->deadline_ms <= now)
 		jj_dispatch_refuse(
-		    dispatch, request, JJ_GIVE_UP_DEADLINE, now, out);
+		    dispatch, request, JJ_FAILURE_DEADLINE, now, out);
 	else if (verdict == JJ_QUARANTINE_REFUSED)
 		jj_dispatch_refuse(
-		    dispatch, request, JJ_GIVE_UP_QUARANTINED, now, out);
+		    dispatch, request, JJ_FAILURE_QUARANTINED, now, out);
 	else {
 		entry = add_entry(dispatch, request, service);
 		if (verdict == JJ_QUARANTINE_SUSPECT)
@@ -146,7 +146,7 @@
 		jj_dispatch_release_slot(dispatch, entry);
 		entry->may_have_run = true;
 		jj_dispatch_give_up(
-		    dispatch, entry, JJ_GIVE_UP_CANCELLED, now, out);
+		    dispatch, entry, JJ_FAILURE_CANCELLED, now, out);
 		break;
 	default:
 		jj_dispatch_take_failure(dispatch, entry, event, now, out);
@@ -166,7 +166,7 @@
 	if (entry == NULL)
 		return;
 	service = entry->service;
-	jj_dispatch_give_up(dispatch, entry, JJ_GIVE_UP_CANCELLED, now, out);
+	jj_dispatch_give_up(dispatch, entry, JJ_FAILURE_CANCELLED, now, out);
 	jj_dispatch_pump(dispatch, service, now, out);
 	jj_dispatch_report_loads(dispatch, now, out);
 }
--- a/src/core/dispatch.h
+++ b/src/core/dispatch.h
@@ -103,7 +103,7 @@
  * request is given up. An attempt with resume_from set continues the stream of
  * the previous attempt at the same server, behind the tokens that the relay
  * already has. A batch request that is withdrawn gets JJ_ACTION_BACKEND_CANCEL
- * and then JJ_ACTION_ANSWER with reason JJ_GIVE_UP_OVERLOADED.
+ * and then JJ_ACTION_ANSWER with reason JJ_FAILURE_OVERLOADED.
  */
 void jj_dispatch_begin(jj_dispatch_t *dispatch, const jj_request_t *request,
     jj_ms_t now, jj_actions_t *out);
--- a/src/core/dispatch_answer.c
+++ b/src/core/dispatch_answer.c
@@ -13,11 +13,11 @@
 
 static jj_ms_t jitter(jj_dispatch_t *, jj_ms_t);
 static jj_ms_t
-retry_after(jj_dispatch_t *, const jj_entry_t *, jj_give_up_t, jj_ms_t);
+retry_after(jj_dispatch_t *, const jj_entry_t *, jj_failure_t, jj_ms_t);
 
 void
 jj_dispatch_refuse(jj_dispatch_t *dispatch, const jj_request_t *request,
-    jj_give_up_t reason, jj_ms_t now, jj_actions_t *out)
+    jj_failure_t reason, jj_ms_t now, jj_actions_t *out)
 {
 	jj_action_t *action = jj_actions_add(out, JJ_ACTION_ANSWER);
 
@@ -30,7 +30,7 @@
 
 void
 jj_dispatch_give_up(jj_dispatch_t *dispatch, jj_entry_t *entry,
-    jj_give_up_t reason, jj_ms_t now, jj_actions_t *out)
+    jj_failure_t reason, jj_ms_t now, jj_actions_t *out)
 {
 	jj_action_t *action;
 
@@ -73,19 +73,19 @@
  */
 static jj_ms_t
 retry_after(jj_dispatch_t *dispatch, const jj_entry_t *entry,
-    jj_give_up_t reason, jj_ms_t now)
+    jj_failure_t reason, jj_ms_t now)
 {
 	jj_ms_t wait = RETRY_AFTER_UNKNOWN_MS;
 
 	switch (reason) {
-	case JJ_GIVE_UP_STOPPING:
+	case JJ_FAILURE_STOPPING:
 		return jitter(dispatch, RETRY_AFTER_STOPPING_MS);
-	case JJ_GIVE_UP_QUARANTINED:
-	case JJ_GIVE_UP_CANCELLED:
-	case JJ_GIVE_UP_NONE:
+	case JJ_FAILURE_QUARANTINED:
+	case JJ_FAILURE_CANCELLED:
+	case JJ_FAILURE_NONE:
 		return 0;
-	case JJ_GIVE_UP_OVERLOADED:
-	case JJ_GIVE_UP_DEADLINE:
+	case JJ_FAILURE_OVERLOADED:
+	case JJ_FAILURE_DEADLINE:
 		if (entry == NULL)
 			return 0;
 		if (entry->team == NULL)
--- a/src/core/dispatch_failure.c
+++ b/src/core/dispatch_failure.c
@@ -65,7 +65,7 @@
 	view->probe_awaited |= entry->awaits_probe;
 	if (entry->team == NULL) {
 		jj_dispatch_give_up(dispatch, entry,
-		    began ? JJ_GIVE_UP_BROKEN : JJ_GIVE_UP_OVERLOADED, now,
+		    began ? JJ_FAILURE_BROKEN : JJ_FAILURE_OVERLOADED, now,
 		    out);
 		return;
 	}
@@ -288,23 +288,23 @@
 	if (entry->relayed ||
 	    (entry->may_have_run && !entry->request.idempotent))
 		jj_dispatch_give_up(
-		    dispatch, entry, JJ_GIVE_UP_BROKEN, now, out);
+		    dispatch, entry, JJ_FAILURE_BROKEN, now, out);
 	else if (jj_quarantine_check(dispatch->quarantine,
 		     entry->request.fingerprint, now) == JJ_QUARANTINE_REFUSED)
 		jj_dispatch_give_up(
-		    dispatch, entry, JJ_GIVE_UP_QUARANTINED, now, out);
+		    dispatch, entry, JJ_FAILURE_QUARANTINED, now, out);
 	else if (now + (jj_ms_t)service->fast_answer_ms >
 	    entry->request.deadline_ms)
 		jj_dispatch_give_up(
-		    dispatch, entry, JJ_GIVE_UP_DEADLINE, now, out);
+		    dispatch, entry, JJ_FAILURE_DEADLINE, now, out);
 	else if (entry->failures >= attempts ||
 	    (charged && !jj_retry_budget_take(&service->budget, now)))
 		jj_dispatch_give_up(
-		    dispatch, entry, JJ_GIVE_UP_RETRIES, now, out);
+		    dispatch, entry, JJ_FAILURE_RETRIES, now, out);
 	else {
 		jj_service_queue_add(service, entry, true, now);
 		if (!jj_dispatch_has_server_up(service))
 			jj_dispatch_give_up(
-			    dispatch, entry, JJ_GIVE_UP_NO_SERVER, now, out);
+			    dispatch, entry, JJ_FAILURE_NO_SERVER, now, out);
 	}
 }
--- a/src/core/dispatch_refresh.c
+++ b/src/core/dispatch_refresh.c
@@ -81,7 +81,7 @@
 			continue;
 		if (now > deadline)
 			jj_dispatch_give_up(
-			    dispatch, entry, JJ_GIVE_UP_DEADLINE, now, out);
+			    dispatch, entry, JJ_FAILURE_DEADLINE, now, out);
 	}
 }
 
@@ -179,7 +179,7 @@
 		if (victim == NULL)
 			return;
 		jj_dispatch_give_up(
-		    dispatch, victim, JJ_GIVE_UP_OVERLOADED, now, out);
+		    dispatch, victim, JJ_FAILURE_OVERLOADED, now, out);
 	}
 }
 
--- a/src/core/dispatch_send.c
+++ b/src/core/dispatch_send.c
@@ -38,12 +38,12 @@
 		return;
 	if (!jj_dispatch_has_server_up(service)) {
 		jj_dispatch_give_up(
-		    dispatch, entry, JJ_GIVE_UP_NO_SERVER, now, out);
+		    dispatch, entry, JJ_FAILURE_NO_SERVER, now, out);
 		return;
 	}
 	if (!can_meet_deadline(entry, entry->team->queued, now)) {
 		jj_dispatch_give_up(
-		    dispatch, entry, JJ_GIVE_UP_DEADLINE, now, out);
+		    dispatch, entry, JJ_FAILURE_DEADLINE, now, out);
 		return;
 	}
 	if (limit == 0)
@@ -53,7 +53,7 @@
 	victim = jj_service_queue_overflow(service);
 	if (victim != NULL)
 		jj_dispatch_give_up(
-		    dispatch, victim, JJ_GIVE_UP_OVERLOADED, now, out);
+		    dispatch, victim, JJ_FAILURE_OVERLOADED, now, out);
 }
 
 /*
@@ -75,7 +75,7 @@
 	if (view == NULL ||
 	    !jj_fleet_takes_work(dispatch->fleet, &view->name, now)) {
 		jj_dispatch_give_up(
-		    dispatch, entry, JJ_GIVE_UP_OVERLOADED, now, out);
+		    dispatch, entry, JJ_FAILURE_OVERLOADED, now, out);
 		return;
 	}
 	use = jj_server_view_use(view, &use);
@@ -178,7 +178,7 @@
 	/* A neighbour's crash report may have arrived while it was queued. */
 	if (verdict == JJ_QUARANTINE_REFUSED) {
 		jj_dispatch_give_up(
-		    dispatch, entry, JJ_GIVE_UP_QUARANTINED, now, out);
+		    dispatch, entry, JJ_FAILURE_QUARANTINED, now, out);
 		return true;
 	}
 	if (verdict == JJ_QUARANTINE_SUSPECT && !entry->suspect) {
--- a/src/core/dispatch_state.h
+++ b/src/core/dispatch_state.h
@@ -79,10 +79,10 @@
     const jj_dispatch_t *dispatch, const jj_service_queue_t *service);
 /** Answers a request that was not accepted, as not run. */
 void jj_dispatch_refuse(jj_dispatch_t *dispatch, const jj_request_t *request,
-    jj_give_up_t reason, jj_ms_t now, jj_actions_t *out);
+    jj_failure_t reason, jj_ms_t now, jj_actions_t *out);
 /** Ends a request, queued or in flight, with an error answer. */
 void jj_dispatch_give_up(jj_dispatch_t *dispatch, jj_entry_t *entry,
-    jj_give_up_t reason, jj_ms_t now, jj_actions_t *out);
+    jj_failure_t reason, jj_ms_t now, jj_actions_t *out);
 /** Queues an online request and sends what can be sent. */
 void jj_dispatch_begin_online(
     jj_dispatch_t *dispatch, jj_entry_t *entry, jj_ms_t now, jj_actions_t *out);
--- a/src/core/event_stream.c
+++ b/src/core/event_stream.c
@@ -16,9 +16,10 @@
 
 static line_t read_line(const char *, size_t);
 static size_t find_event_end(const char *, size_t);
-static void read_fields(jj_event_piece_t *);
+static void read_fields(jj_stream_event_t *);
 static bool is_field(const line_t *, const char *, const char **, size_t *);
-static bool is_in_sequence(const jj_event_stream_t *, const jj_event_piece_t *);
+static bool
+is_in_sequence(const jj_event_stream_t *, const jj_stream_event_t *);
 
 void
 jj_event_stream_begin(jj_event_stream_t *stream, int64_t last_id)
@@ -46,19 +47,20 @@
 	stream->size += size;
 }
 
-jj_event_found_t
-jj_event_stream_next(jj_event_stream_t *stream, jj_event_piece_t *piece)
+jj_event_result_t
+jj_event_stream_next(jj_event_stream_t *stream, jj_stream_event_t *piece)
 {
 	const char *next_byte = stream->pending + stream->start;
 	size_t remaining = stream->size - stream->start;
 	size_t end;
 
 	if (stream->ended)
-		return JJ_EVENT_FOREIGN;
+		return JJ_EVENT_OUT_OF_SEQUENCE;
 	end = remaining > 0 ? find_event_end(next_byte, remaining) : 0;
 	if (end == 0) {
 		stream->ended = remaining > JJ_EVENT_SIZE_MAX;
-		return stream->ended ? JJ_EVENT_FOREIGN : JJ_EVENT_MORE;
+		return stream->ended ? JJ_EVENT_OUT_OF_SEQUENCE
+				     : JJ_EVENT_INCOMPLETE;
 	}
 	memset(piece, 0, sizeof(*piece));
 	piece->raw = next_byte;
@@ -66,16 +68,16 @@
 	read_fields(piece);
 	if (!is_in_sequence(stream, piece)) {
 		stream->ended = true;
-		return JJ_EVENT_FOREIGN;
+		return JJ_EVENT_OUT_OF_SEQUENCE;
 	}
 	if (piece->id != JJ_EVENT_NO_ID)
 		stream->last_id = piece->id;
 	stream->start += end;
-	return JJ_EVENT_WHOLE;
+	return JJ_EVENT_COMPLETE;
 }
 
 bool
-jj_event_stream_has_rest(const jj_event_stream_t *stream)
+jj_event_stream_has_incomplete(const jj_event_stream_t *stream)
 {
 	return stream->size > stream->start;
 }
@@ -88,8 +90,8 @@
 }
 
 void
-jj_event_piece_append_data(
-    const jj_event_piece_t *piece, bool first, jj_bytes_t *text)
+jj_stream_event_append_data(
+    const jj_stream_event_t *piece, bool first, jj_bytes_t *text)
 {
 	size_t offset = 0;
 	bool has_line = false;
@@ -150,7 +152,7 @@
 }
 
 static void
-read_fields(jj_event_piece_t *piece)
+read_fields(jj_stream_event_t *piece)
 {
 	size_t offset = 0;
 
@@ -200,7 +202,7 @@
  * first event of a stream sets the first id (0 or 1).
  */
 static bool
-is_in_sequence(const jj_event_stream_t *stream, const jj_event_piece_t *piece)
+is_in_sequence(const jj_event_stream_t *stream, const jj_stream_event_t *piece)
 {
 	if (!piece->has_data)
 		return piece->id == JJ_EVENT_NO_ID;
--- a/src/core/event_stream.h
+++ b/src/core/event_stream.h
@@ -23,14 +23,14 @@
 	size_t raw_size;
 	int64_t id; /**< or JJ_EVENT_NO_ID */
 	bool has_data;
-} jj_event_piece_t;
+} jj_stream_event_t;
 
 /** What the buffered bytes contain. */
 typedef enum {
-	JJ_EVENT_MORE, /**< no complete event yet: feed more bytes */
-	JJ_EVENT_WHOLE,
-	JJ_EVENT_FOREIGN, /**< not the next event: stop here */
-} jj_event_found_t;
+	JJ_EVENT_INCOMPLETE, /**< no complete event yet: feed more bytes */
+	JJ_EVENT_COMPLETE,
+	JJ_EVENT_OUT_OF_SEQUENCE, /**< not the next event: stop here */
+} jj_event_result_t;
 
 /** State of one stream; to be zeroed, then begun. */
 typedef struct {
@@ -50,16 +50,16 @@
 void
 jj_event_stream_feed(jj_event_stream_t *stream, const char *data, size_t size);
 /** Returns the next complete event. */
-jj_event_found_t
-jj_event_stream_next(jj_event_stream_t *stream, jj_event_piece_t *piece);
+jj_event_result_t
+jj_event_stream_next(jj_event_stream_t *stream, jj_stream_event_t *piece);
 /** True when bytes of an incomplete event are left. */
-bool jj_event_stream_has_rest(const jj_event_stream_t *stream);
+bool jj_event_stream_has_incomplete(const jj_event_stream_t *stream);
 void jj_event_stream_clear(jj_event_stream_t *stream);
 /**
  * Appends the event's data (its `data` lines joined by line feeds) to @p text,
  * after a line feed unless @p first is set.
  */
-void jj_event_piece_append_data(
-    const jj_event_piece_t *piece, bool first, jj_bytes_t *text);
+void jj_stream_event_append_data(
+    const jj_stream_event_t *piece, bool first, jj_bytes_t *text);
 
 #endif
--- a/src/core/gateway.c
+++ b/src/core/gateway.c
@@ -179,7 +179,7 @@
 		    result->unreadable, result->item_count,
 		    (unsigned long long)result->token,
 		    (unsigned long long)result->version);
-	if (result->owner == JJ_OWNER_LENT)
+	if (result->owner == JJ_OWNER_BORROWED)
 		jj_gateway_answer_borrower(gateway, result, out);
 	else if (result->owner == JJ_OWNER_INLINE)
 		jj_inline_take_result(gateway->jobs, result, now, out);
--- a/src/core/gateway_borrow.c
+++ b/src/core/gateway_borrow.c
@@ -113,7 +113,7 @@
 	    message->body.lend.number, now);
 	peer_call->token = ++gateway->peer_call_count;
 	call = jj_actions_add_platform(
-	    out, JJ_OWNER_LENT, message->body.lend.op, peer_call->token);
+	    out, JJ_OWNER_BORROWED, message->body.lend.op, peer_call->token);
 	(void)snprintf(
 	    call->key, sizeof(call->key), "%s", message->body.lend.key);
 	call->version = message->body.lend.version;
@@ -262,7 +262,7 @@
     jj_ms_t now, jj_actions_t *out)
 {
 	jj_message_t *message =
-	    jj_actions_add_message(out, &gateway->lender, JJ_MESSAGE_LEND);
+	    jj_actions_add_message(out, &gateway->lender, JJ_MESSAGE_BORROW);
 	jj_gateway_peer_call_t *peer_call = add_peer_call(&gateway->borrowed,
 	    &gateway->lender, ++gateway->peer_call_count, now);
 
@@ -321,7 +321,7 @@
     const jj_platform_result_t *result)
 {
 	jj_message_t *message =
-	    jj_actions_add_message(out, to, JJ_MESSAGE_LENT);
+	    jj_actions_add_message(out, to, JJ_MESSAGE_BORROW_RESULT);
 
 	message->body.lent.number = number;
 	message->body.lent.outcome = result->outcome;
--- a/src/core/gateway_config.c
+++ b/src/core/gateway_config.c
@@ -100,7 +100,7 @@
 {
 	uint64_t version = message->body.config.version;
 
-	if (message->kind == JJ_MESSAGE_CONFIG_ASK) {
+	if (message->kind == JJ_MESSAGE_CONFIG_REQUEST) {
 		if (version < gateway->routes.version)
 			send_document(gateway, &message->from, now, out);
 		return;
@@ -194,7 +194,8 @@
 	if (!choose_holder(gateway, &holder))
 		return;
 	config->request_interval_ms *= 2;
-	message = jj_actions_add_message(out, &holder, JJ_MESSAGE_CONFIG_ASK);
+	message =
+	    jj_actions_add_message(out, &holder, JJ_MESSAGE_CONFIG_REQUEST);
 	message->body.config.version = gateway->routes.version;
 	jj_actions_add_event(out, "config_asked",
 	    "peer=%s version=%llu heard=%llu again_ms=%lld", holder.text,
--- a/src/core/gateway_relay.c
+++ b/src/core/gateway_relay.c
@@ -45,7 +45,7 @@
 
 static void report_states(jj_gateway_t *, jj_ms_t, jj_actions_t *);
 static void send_states(jj_gateway_t *, const jj_name_t *,
-    const jj_job_standing_t *, uint32_t, jj_actions_t *);
+    const jj_job_progress_t *, uint32_t, jj_actions_t *);
 static jj_mirror_duty_t choose_duty(const jj_gateway_t *);
 static void count_vms(jj_gateway_t *);
 static void relay_events(jj_gateway_t *, uint32_t, uint64_t, uint64_t,
@@ -95,7 +95,7 @@
 }
 
 void
-jj_gateway_take_relay(jj_gateway_t *gateway, const jj_relay_news_t *news,
+jj_gateway_take_relay(jj_gateway_t *gateway, const jj_relay_update_t *news,
     jj_ms_t now, jj_actions_t *out)
 {
 	size_t count = 0;
@@ -119,7 +119,7 @@
 static void
 report_states(jj_gateway_t *gateway, jj_ms_t now, jj_actions_t *out)
 {
-	jj_job_standing_t *states;
+	jj_job_progress_t *states;
 	jj_member_info_t *infos;
 	uint32_t count;
 	uint32_t offset;
@@ -146,7 +146,7 @@
 /** Sends as many states as one message holds. */
 static void
 send_states(jj_gateway_t *gateway, const jj_name_t *to,
-    const jj_job_standing_t *states, uint32_t count, jj_actions_t *out)
+    const jj_job_progress_t *states, uint32_t count, jj_actions_t *out)
 {
 	jj_message_t *message =
 	    jj_actions_add_message(out, to, JJ_MESSAGE_JOB_STATES);
--- a/src/core/gateway_requests.c
+++ b/src/core/gateway_requests.c
@@ -27,7 +27,7 @@
 static jj_gateway_entry_t *add_entry(
     jj_gateway_t *, const jj_gateway_request_t *, const jj_route_t *, jj_ms_t);
 static void refuse(
-    jj_gateway_t *, const jj_gateway_request_t *, jj_give_up_t, jj_actions_t *);
+    jj_gateway_t *, const jj_gateway_request_t *, jj_failure_t, jj_actions_t *);
 static bool
 check_entry(jj_gateway_t *, jj_gateway_entry_t *, jj_ms_t, jj_actions_t *);
 static const jj_name_t *
@@ -56,7 +56,7 @@
 cancel_attempt(jj_gateway_t *, jj_gateway_entry_t *, jj_actions_t *);
 static void
 log_end(const jj_gateway_entry_t *, const char *, jj_ms_t, jj_actions_t *);
-static jj_ms_t choose_retry_after_ms(jj_gateway_t *, jj_give_up_t);
+static jj_ms_t choose_retry_after_ms(jj_gateway_t *, jj_failure_t);
 static const char *name_of_kind(jj_backend_kind_t);
 
 void
@@ -72,18 +72,18 @@
 	if (route == NULL || route->kind == JJ_ROUTE_BATCH) {
 		/* A newer configuration may have a route for it. */
 		refuse(gateway, request,
-		    jj_gateway_is_config_stale(gateway) ? JJ_GIVE_UP_NO_CONFIG
-							: JJ_GIVE_UP_NO_SERVICE,
+		    jj_gateway_is_config_stale(gateway) ? JJ_FAILURE_NO_CONFIG
+							: JJ_FAILURE_NO_SERVICE,
 		    out);
 		return;
 	}
 	if (route->backend_count == 0) {
-		refuse(gateway, request, JJ_GIVE_UP_NO_SERVER, out);
+		refuse(gateway, request, JJ_FAILURE_NO_SERVER, out);
 		return;
 	}
 	if (jj_quarantine_check(gateway->quarantine, request->fingerprint,
 		now) == JJ_QUARANTINE_REFUSED) {
-		refuse(gateway, request, JJ_GIVE_UP_QUARANTINED, out);
+		refuse(gateway, request, JJ_FAILURE_QUARANTINED, out);
 		return;
 	}
 	entry = add_entry(gateway, request, route, now);
@@ -210,7 +210,7 @@
 		return;
 	if (server == NULL) {
 		jj_gateway_give_up(gateway, entry,
-		    full ? JJ_GIVE_UP_OVERLOADED : JJ_GIVE_UP_NO_SERVER, out);
+		    full ? JJ_FAILURE_OVERLOADED : JJ_FAILURE_NO_SERVER, out);
 		return;
 	}
 	preempt_if_full(gateway, server, now, out);
@@ -219,7 +219,7 @@
 
 void
 jj_gateway_give_up(jj_gateway_t *gateway, jj_gateway_entry_t *entry,
-    jj_give_up_t reason, jj_actions_t *out)
+    jj_failure_t reason, jj_actions_t *out)
 {
 	jj_action_t *action = jj_actions_add(out, JJ_ACTION_ANSWER);
 
@@ -232,7 +232,7 @@
 	jj_actions_add_event(out, "request_given_up",
 	    "request=%s reason=%s may_have_run=%d relayed=%d tries=%u sent=%u "
 	    "server=%s after_ms=%lld",
-	    entry->id, jj_give_up_name(reason), entry->may_have_run,
+	    entry->id, jj_failure_name(reason), entry->may_have_run,
 	    entry->relayed, entry->tries, entry->sent_attempts,
 	    entry->last_server.text,
 	    (long long)(gateway->now - entry->begun_ms));
@@ -316,7 +316,7 @@
 	if (entry->class_of == JJ_CLASS_ONLINE && now >= entry->give_up_ms) {
 		entry->may_have_run = true;
 		cancel_attempt(gateway, entry, out);
-		jj_gateway_give_up(gateway, entry, JJ_GIVE_UP_DEADLINE, out);
+		jj_gateway_give_up(gateway, entry, JJ_FAILURE_DEADLINE, out);
 		return true;
 	}
 	if (!entry->first_seen && !entry->crowded &&
@@ -394,7 +394,7 @@
 
 static void
 refuse(jj_gateway_t *gateway, const jj_gateway_request_t *request,
-    jj_give_up_t reason, jj_actions_t *out)
+    jj_failure_t reason, jj_actions_t *out)
 {
 	jj_action_t *action = jj_actions_add(out, JJ_ACTION_ANSWER);
 
@@ -405,7 +405,7 @@
 	    choose_retry_after_ms(gateway, reason);
 	jj_actions_add_event(out, "request_refused",
 	    "request=%s reason=%s host=%s path=%.60s config=%llu", request->id,
-	    jj_give_up_name(reason), request->host, request->path,
+	    jj_failure_name(reason), request->host, request->path,
 	    (unsigned long long)gateway->routes.version);
 }
 
@@ -589,7 +589,7 @@
 	if (not_run || entry->repeatable)
 		retry(gateway, entry, now, out);
 	else
-		jj_gateway_give_up(gateway, entry, JJ_GIVE_UP_BROKEN, out);
+		jj_gateway_give_up(gateway, entry, JJ_FAILURE_BROKEN, out);
 }
 
 static void
@@ -600,14 +600,14 @@
 	    entry->tries >=
 		entry->max_attempts + gateway->settings.connect_tries) {
 		jj_gateway_give_up(gateway, entry,
-		    entry->may_have_run ? JJ_GIVE_UP_RETRIES
-					: JJ_GIVE_UP_OVERLOADED,
+		    entry->may_have_run ? JJ_FAILURE_RETRIES
+					: JJ_FAILURE_OVERLOADED,
 		    out);
 		return;
 	}
 	if (jj_quarantine_check(gateway->quarantine, entry->fingerprint, now) ==
 	    JJ_QUARANTINE_REFUSED) {
-		jj_gateway_give_up(gateway, entry, JJ_GIVE_UP_QUARANTINED, out);
+		jj_gateway_give_up(gateway, entry, JJ_FAILURE_QUARANTINED, out);
 		return;
 	}
 	jj_gateway_dispatch(gateway, entry, now, out);
@@ -675,12 +675,12 @@
  * so the delays are spread between once and twice the mean service time.
  */
 static jj_ms_t
-choose_retry_after_ms(jj_gateway_t *gateway, jj_give_up_t reason)
+choose_retry_after_ms(jj_gateway_t *gateway, jj_failure_t reason)
 {
 	jj_ms_t min_ms = gateway->settings.retry_after_ms;
 	jj_ms_t mean = (jj_ms_t)gateway->mean_service_ms;
 
-	if (reason != JJ_GIVE_UP_OVERLOADED || mean < min_ms)
+	if (reason != JJ_FAILURE_OVERLOADED || mean < min_ms)
 		return min_ms;
 	return mean + (jj_ms_t)(jj_gateway_random(gateway) % (uint64_t)mean);
 }
--- a/src/core/gateway_state.h
+++ b/src/core/gateway_state.h
@@ -216,7 +216,7 @@
     jj_ms_t now, jj_actions_t *out);
 /** Abandons a request with an answer of the gateway's own. */
 void jj_gateway_give_up(jj_gateway_t *gateway, jj_gateway_entry_t *entry,
-    jj_give_up_t reason, jj_actions_t *out);
+    jj_failure_t reason, jj_actions_t *out);
 /** Ends the current attempt; the entry then waits for another server. */
 void jj_gateway_leave_server(jj_gateway_t *gateway, jj_gateway_entry_t *entry);
 /** Abandons requests whose time is over and moves those that have stalled. */
@@ -359,7 +359,7 @@
     uint64_t to, const jj_platform_item_t *items, size_t count);
 void jj_gateway_relay_jobs(void *gateway, uint64_t from, uint64_t to,
     const jj_platform_item_t *items, size_t count);
-void jj_gateway_take_relay(jj_gateway_t *gateway, const jj_relay_news_t *news,
+void jj_gateway_take_relay(jj_gateway_t *gateway, const jj_relay_update_t *news,
     jj_ms_t now, jj_actions_t *out);
 
 /* Platform calls through another VM (gateway_borrow.c). */
--- a/src/core/gateway_updates.c
+++ b/src/core/gateway_updates.c
@@ -36,7 +36,7 @@
 	case JJ_MESSAGE_HEARTBEAT:
 		take_heartbeat(gateway, message, now);
 		break;
-	case JJ_MESSAGE_CONFIG_ASK:
+	case JJ_MESSAGE_CONFIG_REQUEST:
 	case JJ_MESSAGE_CONFIG:
 		jj_gateway_take_config_message(gateway, message, now, out);
 		break;
@@ -48,7 +48,7 @@
 		jj_quarantine_take_crash(
 		    gateway->quarantine, &message->body.crash, now, out);
 		break;
-	case JJ_MESSAGE_STRUCK:
+	case JJ_MESSAGE_CRASH_HISTORY:
 		(void)jj_crash_history_take(
 		    gateway->quarantine, message, now, out);
 		break;
@@ -59,10 +59,10 @@
 		    message->body.server.state == JJ_SERVER_DOWN)
 			jj_slots_note_remote_failure(server, now);
 		break;
-	case JJ_MESSAGE_LEND:
+	case JJ_MESSAGE_BORROW:
 		jj_gateway_take_borrow_request(gateway, message, now, out);
 		break;
-	case JJ_MESSAGE_LENT:
+	case JJ_MESSAGE_BORROW_RESULT:
 		jj_gateway_take_borrow_result(gateway, message, now, out);
 		break;
 	case JJ_MESSAGE_YIELD:
--- a/src/core/inline.h
+++ b/src/core/inline.h
@@ -174,10 +174,10 @@
  * @return their number; only the first @p max_count are filled in.
  */
 uint32_t jj_inline_list_states(
-    const jj_inline_t *jobs, jj_job_standing_t *states, uint32_t max_count);
+    const jj_inline_t *jobs, jj_job_progress_t *states, uint32_t max_count);
 /** Handles a report of the jobs that @p vm runs, as of @p written or later. */
 void jj_inline_take_states(jj_inline_t *jobs, const jj_name_t *vm,
-    const jj_job_standing_t *states, uint32_t count, jj_ms_t written,
+    const jj_job_progress_t *states, uint32_t count, jj_ms_t written,
     jj_ms_t now, jj_actions_t *out);
 /** Answers another VM's query for results of a job that this VM runs. */
 void jj_inline_take_peer_read(
--- a/src/core/inline_peer_states.c
+++ b/src/core/inline_peer_states.c
@@ -17,7 +17,7 @@
 
 static jj_peer_state_t *find(const jj_inline_t *, uint64_t);
 static void store_state(
-    jj_inline_t *, const jj_name_t *, const jj_job_standing_t *, jj_ms_t);
+    jj_inline_t *, const jj_name_t *, const jj_job_progress_t *, jj_ms_t);
 static void drop_old(jj_inline_t *, jj_ms_t);
 
 uint64_t
@@ -28,7 +28,7 @@
 
 uint32_t
 jj_inline_list_states(
-    const jj_inline_t *jobs, jj_job_standing_t *states, uint32_t max_count)
+    const jj_inline_t *jobs, jj_job_progress_t *states, uint32_t max_count)
 {
 	const jj_inline_run_t *run;
 	uint32_t count = 0;
@@ -55,7 +55,7 @@
 
 void
 jj_inline_take_states(jj_inline_t *jobs, const jj_name_t *vm,
-    const jj_job_standing_t *states, uint32_t count, jj_ms_t written,
+    const jj_job_progress_t *states, uint32_t count, jj_ms_t written,
     jj_ms_t now, jj_actions_t *out)
 {
 	jj_inline_op_t *op;
@@ -132,7 +132,7 @@
  */
 static void
 store_state(jj_inline_t *jobs, const jj_name_t *vm,
-    const jj_job_standing_t *state, jj_ms_t written)
+    const jj_job_progress_t *state, jj_ms_t written)
 {
 	jj_peer_state_t *peer_state = find(jobs, state->job);
 	uint32_t published = 0;
--- a/src/core/inline_state.h
+++ b/src/core/inline_state.h
@@ -45,7 +45,7 @@
 /** Latest report of another VM about a job that it runs. */
 typedef struct jj_peer_state {
 	TAILQ_ENTRY(jj_peer_state) link;
-	jj_job_standing_t state;
+	jj_job_progress_t state;
 	jj_name_t vm; /**< the VM that runs it */
 	jj_ms_t reported_at_ms;
 } jj_peer_state_t;
--- a/src/core/message.h
+++ b/src/core/message.h
@@ -26,9 +26,9 @@
 /** Maximum jobs in one message of job states. */
 #define JJ_MESSAGE_JOB_STATES_MAX 64
 /** Maximum server crashes that are kept and sent per request. */
-#define JJ_MESSAGE_DEATHS_MAX 4
+#define JJ_MESSAGE_CRASHES_MAX 4
 /** Maximum requests in one message of the crash history. */
-#define JJ_MESSAGE_STRUCK_MAX 48
+#define JJ_MESSAGE_CRASH_HISTORY_MAX 48
 /** Maximum fingerprints in one crash report. */
 #define JJ_MESSAGE_SUSPECTS_MAX 64
 
@@ -36,7 +36,7 @@
 	JJ_MESSAGE_HEARTBEAT = 1,
 	JJ_MESSAGE_PROBE, /**< requests an echo from an unknown incarnation */
 	JJ_MESSAGE_PROBE_ECHO, /**< only the running process can send it */
-	JJ_MESSAGE_CONFIG_ASK, /**< requests a newer configuration */
+	JJ_MESSAGE_CONFIG_REQUEST, /**< requests a newer configuration */
 	JJ_MESSAGE_CONFIG, /**< a complete configuration */
 	JJ_MESSAGE_LOAD, /**< loads that changed */
 	JJ_MESSAGE_CALL, /**< entry VM to home: run this call at most once */
@@ -61,12 +61,12 @@
 	JJ_MESSAGE_RELAY, /**< events of a watch, for VMs that do not watch */
 	JJ_MESSAGE_JOB_STATES, /**< states of the jobs that the sender runs */
 	/** crash history: requests known to have crashed servers */
-	JJ_MESSAGE_STRUCK,
+	JJ_MESSAGE_CRASH_HISTORY,
 	/**
 	 * asks the receiver to call the platform, which the sender cannot reach
 	 */
-	JJ_MESSAGE_LEND,
-	JJ_MESSAGE_LENT, /**< the result of such a call */
+	JJ_MESSAGE_BORROW,
+	JJ_MESSAGE_BORROW_RESULT, /**< the result of such a call */
 	/** requests results of a job of the receiver, for a reader */
 	JJ_MESSAGE_JOB_READ,
 	/** the results, or none: read them from the platform */
@@ -220,7 +220,7 @@
 	uint64_t from;
 	uint64_t to;
 	jj_bytes_t events; /**< JSON array of {key,version,gone,value} */
-} jj_relay_news_t;
+} jj_relay_update_t;
 
 /** Progress of a job that the sender runs. */
 typedef struct {
@@ -229,7 +229,7 @@
 	uint64_t tokens; /**< of items that are not finished */
 	uint32_t total; /**< items */
 	uint32_t shown; /**< results available to readers */
-} jj_job_standing_t;
+} jj_job_progress_t;
 
 /** A request that was on servers when they crashed; see quarantine.h. */
 typedef struct {
@@ -237,8 +237,8 @@
 	jj_ms_t age_ms; /**< time since the last crash by the sender's clock */
 	uint32_t death_count;
 	uint64_t
-	    deaths[JJ_MESSAGE_DEATHS_MAX]; /**< hashes of server and boot */
-} jj_struck_t;
+	    deaths[JJ_MESSAGE_CRASHES_MAX]; /**< hashes of server and boot */
+} jj_crash_record_t;
 
 /** A message with its header. */
 typedef struct {
@@ -273,7 +273,7 @@
 			/** the receiver is to send its crash history */
 			bool asks;
 			uint32_t count;
-			jj_struck_t entries[JJ_MESSAGE_STRUCK_MAX];
+			jj_crash_record_t entries[JJ_MESSAGE_CRASH_HISTORY_MAX];
 		} struck;
 		struct {
 			/** number of the call in the requesting process */
@@ -304,7 +304,7 @@
 			 */
 			jj_bytes_t page;
 		} job_page; /**< also JOB_READ, without a page */
-		jj_relay_news_t relay;
+		jj_relay_update_t relay;
 		struct {
 			/**
 			 * As ack_sequence of a heartbeat: shows how old this
@@ -312,7 +312,7 @@
 			 */
 			uint64_t ack;
 			uint32_t count;
-			jj_job_standing_t states[JJ_MESSAGE_JOB_STATES_MAX];
+			jj_job_progress_t states[JJ_MESSAGE_JOB_STATES_MAX];
 		} job_states;
 		struct {
 			uint64_t revision;
--- a/src/core/quarantine.c
+++ b/src/core/quarantine.c
@@ -11,7 +11,7 @@
 /** Buckets of the table by fingerprint; a power of two. */
 #define BUCKETS 4096
 /** Crashes stored per fingerprint; at least the setting `strikes`. */
-#define CRASHES_MAX JJ_MESSAGE_DEATHS_MAX
+#define CRASHES_MAX JJ_MESSAGE_CRASHES_MAX
 /**
  * Reports of a crash without a known boot id count as one crash for this time.
  */
@@ -59,8 +59,8 @@
 static bool count_crash(jj_quarantine_t *, uint64_t, const server_crash_t *,
     bool, const char *, jj_actions_t *);
 static size_t list_queue(const jj_quarantine_t *, const struct suspect_queue *,
-    jj_ms_t, jj_struck_t *, size_t);
-static jj_struck_t describe(const suspect_t *, jj_ms_t);
+    jj_ms_t, jj_crash_record_t *, size_t);
+static jj_crash_record_t describe(const suspect_t *, jj_ms_t);
 
 jj_quarantine_t *
 jj_quarantine_create(const jj_quarantine_settings_t *settings)
@@ -120,7 +120,7 @@
 
 size_t
 jj_quarantine_list(const jj_quarantine_t *quarantine, jj_ms_t now,
-    jj_struck_t *entries, size_t max_count)
+    jj_crash_record_t *entries, size_t max_count)
 {
 	size_t count = list_queue(
 	    quarantine, &quarantine->refused, now, entries, max_count);
@@ -132,7 +132,8 @@
 
 bool
 jj_quarantine_take_history(jj_quarantine_t *quarantine,
-    const jj_struck_t *entries, size_t count, jj_ms_t now, jj_actions_t *out)
+    const jj_crash_record_t *entries, size_t count, jj_ms_t now,
+    jj_actions_t *out)
 {
 	bool changed = false;
 	server_crash_t server_crash;
@@ -325,7 +326,7 @@
 
 static size_t
 list_queue(const jj_quarantine_t *quarantine, const struct suspect_queue *queue,
-    jj_ms_t now, jj_struck_t *entries, size_t max_count)
+    jj_ms_t now, jj_crash_record_t *entries, size_t max_count)
 {
 	const suspect_t *suspect;
 	size_t count = 0;
@@ -340,10 +341,10 @@
 	return count;
 }
 
-static jj_struck_t
+static jj_crash_record_t
 describe(const suspect_t *suspect, jj_ms_t now)
 {
-	jj_struck_t entry = {0};
+	jj_crash_record_t entry = {0};
 	uint32_t i;
 
 	entry.fingerprint = suspect->fingerprint;
--- a/src/core/quarantine.h
+++ b/src/core/quarantine.h
@@ -48,7 +48,7 @@
  * @return how many were written, at most @p max_count.
  */
 size_t jj_quarantine_list(const jj_quarantine_t *quarantine, jj_ms_t now,
-    jj_struck_t *entries, size_t max_count);
+    jj_crash_record_t *entries, size_t max_count);
 /**
  * Takes a neighbour's list of requests that have crashed servers, including
  * crashes from before this VM started or received messages. A crash that is
@@ -56,7 +56,8 @@
  * @return true when a crash was not known.
  */
 bool jj_quarantine_take_history(jj_quarantine_t *quarantine,
-    const jj_struck_t *entries, size_t count, jj_ms_t now, jj_actions_t *out);
+    const jj_crash_record_t *entries, size_t count, jj_ms_t now,
+    jj_actions_t *out);
 /** Clears a request that completed. */
 void jj_quarantine_clear(jj_quarantine_t *quarantine, uint64_t fingerprint);
 /** Number of fingerprints that are currently refused. */
--- a/src/core/types.c
+++ b/src/core/types.c
@@ -28,14 +28,14 @@
 }
 
 void
-jj_name_fit(jj_name_t *name, const char *text)
+jj_name_set_truncated(jj_name_t *name, const char *text)
 {
 	if (!jj_name_set(name, text))
-		jj_text_fit(name->text, sizeof(name->text), text);
+		jj_text_copy_truncated(name->text, sizeof(name->text), text);
 }
 
 void
-jj_text_fit(char *fitted, size_t size, const char *text)
+jj_text_copy_truncated(char *fitted, size_t size, const char *text)
 {
 	size_t length = strlen(text);
 	const char *end;
--- a/src/core/types.h
+++ b/src/core/types.h
@@ -43,12 +43,12 @@
 /** Copies @p text into a name; false (and an empty name) when too long. */
 bool jj_name_set(jj_name_t *name, const char *text);
 /** Like jj_name_set; a text that is too long is cut and ends in its hash. */
-void jj_name_fit(jj_name_t *name, const char *text);
+void jj_name_set_truncated(jj_name_t *name, const char *text);
 /**
  * Copies @p text into @p size bytes; a text that is too long is cut and ends in
  * its hash. @p size must exceed the hash suffix.
  */
-void jj_text_fit(char *fitted, size_t size, const char *text);
+void jj_text_copy_truncated(char *fitted, size_t size, const char *text);
 /** True when both names are the same. */
 bool jj_name_equal(const jj_name_t *a, const jj_name_t *b);
 /** True for the empty name. */
--- a/src/daemon/answers.c
+++ b/src/daemon/answers.c
@@ -11,31 +11,31 @@
 
 /** Status, code and title for a reason to abandon a request. */
 typedef struct {
-	jj_give_up_t reason;
+	jj_failure_t reason;
 	int status;
 	const char *code;
 	const char *title;
 } failure_row_t;
 
 static const failure_row_t failure_rows[] = {
-    {JJ_GIVE_UP_NO_SERVER, 503, "no_server",
+    {JJ_FAILURE_NO_SERVER, 503, "no_server",
 	"No backend server of this service can take the request."},
-    {JJ_GIVE_UP_OVERLOADED, 429, "overloaded",
+    {JJ_FAILURE_OVERLOADED, 429, "overloaded",
 	"Too many requests wait for this service."},
-    {JJ_GIVE_UP_DEADLINE, 504, "deadline",
+    {JJ_FAILURE_DEADLINE, 504, "deadline",
 	"The request's deadline cannot be met."},
-    {JJ_GIVE_UP_RETRIES, 502, "attempts_used_up",
+    {JJ_FAILURE_RETRIES, 502, "attempts_used_up",
 	"Backend servers failed the request and it is not tried again."},
-    {JJ_GIVE_UP_QUARANTINED, 422, "quarantined",
+    {JJ_FAILURE_QUARANTINED, 422, "quarantined",
 	"This request crashed backend servers and is refused for a time."},
-    {JJ_GIVE_UP_BROKEN, 502, "answer_broken",
+    {JJ_FAILURE_BROKEN, 502, "answer_broken",
 	"The backend server failed in the middle of the answer."},
-    {JJ_GIVE_UP_STOPPING, 503, "stopping",
+    {JJ_FAILURE_STOPPING, 503, "stopping",
 	"This VM is stopping and takes no new requests."},
-    {JJ_GIVE_UP_NO_CONFIG, 503, "no_configuration",
+    {JJ_FAILURE_NO_CONFIG, 503, "no_configuration",
 	"No configuration is known here yet."},
-    {JJ_GIVE_UP_CANCELLED, 409, "cancelled", "The request was cancelled."},
-    {JJ_GIVE_UP_NO_SERVICE, 404, "unknown_service",
+    {JJ_FAILURE_CANCELLED, 409, "cancelled", "The request was cancelled."},
+    {JJ_FAILURE_NO_SERVICE, 404, "unknown_service",
 	"The configuration has no such service."},
 };
 
--- a/src/daemon/gateway_front.c
+++ b/src/daemon/gateway_front.c
@@ -391,8 +391,8 @@
 status_of(const jj_answer_t *given)
 {
 	if (given->run != JJ_RUN_NOT_RUN)
-		return given->reason == JJ_GIVE_UP_DEADLINE ? 504 : 502;
-	return given->reason == JJ_GIVE_UP_NO_SERVICE ? 404 : 503;
+		return given->reason == JJ_FAILURE_DEADLINE ? 504 : 502;
+	return given->reason == JJ_FAILURE_NO_SERVICE ? 404 : 503;
 }
 
 static void
--- a/src/daemon/node_control.c
+++ b/src/daemon/node_control.c
@@ -76,9 +76,9 @@
 void
 jj_node_post_caller_gone(jj_node_t *node, uint64_t request)
 {
-	event_task_t *task = create_task(JJ_EVENT_GONE);
+	event_task_t *task = create_task(JJ_EVENT_CALLER_GONE);
 
-	task->event.body.request_gone = request;
+	task->event.body.disconnected_request = request;
 	jj_loop_post(node->control, &task->task);
 }
 
@@ -175,7 +175,7 @@
 jj_node_post_order_answer(jj_node_t *node, const jj_name_t *server,
     uint64_t order, int status, jj_ms_t retry_after_ms)
 {
-	event_task_t *task = create_task(JJ_EVENT_ORDERED);
+	event_task_t *task = create_task(JJ_EVENT_ORDER_ANSWER);
 
 	task->event.body.ordered.server = *server;
 	task->event.body.ordered.order = order;
@@ -276,8 +276,8 @@
 		backend->kind == JJ_BACKEND_REJECTED))
 		jj_node_finish_response(node, backend->request,
 		    backend->kind == JJ_BACKEND_REJECTED, &task->response);
-	else if (task->event.kind == JJ_EVENT_GONE)
-		after_caller_gone(node, task->event.body.request_gone);
+	else if (task->event.kind == JJ_EVENT_CALLER_GONE)
+		after_caller_gone(node, task->event.body.disconnected_request);
 	else if (task->event.kind == JJ_EVENT_RELEASE)
 		jj_node_answer_pending(node, task->event.body.release.operation,
 		    202, 0, &task->body);
--- a/src/daemon/node_finish.c
+++ b/src/daemon/node_finish.c
@@ -153,12 +153,12 @@
 {
 	/* An unsent item may be retried, even if it is non-idempotent. */
 	if (answer->run == JJ_RUN_NOT_RUN &&
-	    answer->reason != JJ_GIVE_UP_QUARANTINED)
+	    answer->reason != JJ_FAILURE_QUARANTINED)
 		return JJ_ITEM_NOT_RUN;
 	switch (answer->reason) {
-	case JJ_GIVE_UP_QUARANTINED:
+	case JJ_FAILURE_QUARANTINED:
 		return JJ_ITEM_POISON;
-	case JJ_GIVE_UP_OVERLOADED:
+	case JJ_FAILURE_OVERLOADED:
 		return JJ_ITEM_WITHDRAWN;
 	default:
 		return JJ_ITEM_OUTCOME_UNKNOWN;
--- a/src/daemon/stream_relay.c
+++ b/src/daemon/stream_relay.c
@@ -78,7 +78,7 @@
 static void check_head(attempt_t *);
 static jj_http_flow_t on_data(void *, const char *, size_t);
 static void receive_events(attempt_t *, entry_t *, const char *, size_t);
-static void forward_event(attempt_t *, entry_t *, const jj_event_piece_t *);
+static void forward_event(attempt_t *, entry_t *, const jj_stream_event_t *);
 static void receive_body(attempt_t *, const char *, size_t);
 static void begin_answer(attempt_t *, entry_t *);
 static void send_unstreamed(attempt_t *, entry_t *);
@@ -438,23 +438,24 @@
 receive_events(
     attempt_t *attempt, entry_t *entry, const char *data, size_t size)
 {
-	jj_event_piece_t event;
-	jj_event_found_t result;
+	jj_stream_event_t event;
+	jj_event_result_t result;
 
 	jj_event_stream_feed(&attempt->events, data, size);
 	while ((result = jj_event_stream_next(&attempt->events, &event)) ==
-	    JJ_EVENT_WHOLE)
+	    JJ_EVENT_COMPLETE)
 		forward_event(attempt, entry, &event);
-	if (result == JJ_EVENT_FOREIGN)
+	if (result == JJ_EVENT_OUT_OF_SEQUENCE)
 		attempt->kind = ANSWER_INVALID;
 }
 
 static void
-forward_event(attempt_t *attempt, entry_t *entry, const jj_event_piece_t *event)
+forward_event(
+    attempt_t *attempt, entry_t *entry, const jj_stream_event_t *event)
 {
 	entry->last_id = attempt->events.last_id;
 	if (entry->exchange.call == NULL) {
-		jj_event_piece_append_data(
+		jj_stream_event_append_data(
 		    event, !entry->has_text, &entry->text);
 		entry->has_text = entry->has_text || event->has_data;
 		return;
@@ -601,7 +602,7 @@
 	if (end != JJ_HTTP_COMPLETE)
 		return jj_attempt_kind_of_end(end);
 	if (attempt->kind == ANSWER_STREAM)
-		return jj_event_stream_has_rest(&attempt->events) ||
+		return jj_event_stream_has_incomplete(&attempt->events) ||
 			(!attempt->first_reported && !attempt->resumes)
 		    ? JJ_BACKEND_BROKEN
 		    : JJ_BACKEND_DONE;
--- a/tests/adapters/wire_test.cc
+++ b/tests/adapters/wire_test.cc
@@ -100,7 +100,7 @@
 	[](jj_message_t *m) { m->body.nonce = UINT64_MAX; }},
     {"ProbeEcho", JJ_MESSAGE_PROBE_ECHO,
 	[](jj_message_t *m) { m->body.nonce = 0; }},
-    {"ConfigAsk", JJ_MESSAGE_CONFIG_ASK,
+    {"ConfigAsk", JJ_MESSAGE_CONFIG_REQUEST,
 	[](jj_message_t *m) { m->body.config.version = 4; }},
     {"Config", JJ_MESSAGE_CONFIG,
 	[](jj_message_t *m) {
@@ -196,16 +196,16 @@
 			m->body.job_states.states[i] = {
 			    UINT64_MAX - i, i, UINT64_MAX, i + 1, i};
 	}},
-    {"Struck", JJ_MESSAGE_STRUCK,
+    {"Struck", JJ_MESSAGE_CRASH_HISTORY,
 	[](jj_message_t *m) {
 		m->body.struck.asks = true;
-		m->body.struck.count = JJ_MESSAGE_STRUCK_MAX;
+		m->body.struck.count = JJ_MESSAGE_CRASH_HISTORY_MAX;
 		for (uint32_t i = 0; i < m->body.struck.count; i++)
 			m->body.struck.entries[i] = {UINT64_MAX - i, i,
-			    JJ_MESSAGE_DEATHS_MAX,
+			    JJ_MESSAGE_CRASHES_MAX,
 			    {UINT64_MAX, i, i + 1, i + 2}};
 	}},
-    {"Lend", JJ_MESSAGE_LEND,
+    {"Lend", JJ_MESSAGE_BORROW,
 	[](jj_message_t *m) {
 		m->body.lend.number = UINT64_MAX;
 		m->body.lend.op = JJ_PLATFORM_DELETE;
@@ -213,7 +213,7 @@
 		m->body.lend.version = 7;
 		m->body.lend.value = jj_bytes_from_text("{}");
 	}},
-    {"Lent", JJ_MESSAGE_LENT,
+    {"Lent", JJ_MESSAGE_BORROW_RESULT,
 	[](jj_message_t *m) {
 		m->body.lent.number = UINT64_MAX;
 		m->body.lent.outcome = JJ_PLATFORM_UNKNOWN;
@@ -251,7 +251,7 @@
 		m->body.config.document =
 		    jj_bytes_copy(document.data(), document.size());
 	}},
-    {"LongerLent", JJ_MESSAGE_LENT,
+    {"LongerLent", JJ_MESSAGE_BORROW_RESULT,
 	[](jj_message_t *m) {
 		std::string value(2 * JJ_OBJECT_VALUE_MAX, ' ');
 
--- a/tests/core/core_test.cc
+++ b/tests/core/core_test.cc
@@ -183,7 +183,7 @@
 	const char *name;
 	uint64_t
 	    reported_version; /**< version in the heartbeat of another VM */
-	jj_give_up_t reason;
+	jj_failure_t reason;
 };
 
 class UnknownService : public ::testing::TestWithParam<UnknownCase>
@@ -224,8 +224,8 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(Newest, UnknownService,
-    ::testing::Values(UnknownCase{"IsInForce", 1, JJ_GIVE_UP_NO_SERVICE},
-	UnknownCase{"IsElsewhere", 99, JJ_GIVE_UP_NO_CONFIG}),
+    ::testing::Values(UnknownCase{"IsInForce", 1, JJ_FAILURE_NO_SERVICE},
+	UnknownCase{"IsElsewhere", 99, JJ_FAILURE_NO_CONFIG}),
     [](const auto &one) { return std::string(one.param.name); });
 
 /** Sends a report of VM @p from that a request crashed two engines. */
@@ -295,7 +295,7 @@
 	world.handle(gone, event);
 	world.run_until(world.now + 2000);
 	ASSERT_EQ(1u, gone.given_up.count(1));
-	EXPECT_EQ(JJ_GIVE_UP_QUARANTINED, gone.given_up[1]);
+	EXPECT_EQ(JJ_FAILURE_QUARANTINED, gone.given_up[1]);
 }
 
 /*
--- a/tests/core/core_world.h
+++ b/tests/core/core_world.h
@@ -34,7 +34,7 @@
 	std::vector<std::pair<jj_ms_t, uint64_t>> adopted;
 	std::vector<std::pair<uint64_t, int>> patch_answers;
 	std::vector<std::pair<uint64_t, jj_call_outcome_t>> call_answers;
-	std::map<uint64_t, jj_give_up_t> given_up;
+	std::map<uint64_t, jj_failure_t> given_up;
 	/** when this VM reported other VMs as lost */
 	std::vector<jj_ms_t> losses;
 	std::string status;
--- a/tests/core/dispatch_test.cc
+++ b/tests/core/dispatch_test.cc
@@ -21,7 +21,7 @@
 
 struct Answer {
 	uint64_t request;
-	jj_give_up_t reason;
+	jj_failure_t reason;
 	jj_run_t run;
 	jj_ms_t retry_after_ms;
 };
@@ -486,27 +486,27 @@
 		bool idempotent;
 		bool relayed;
 		bool again;
-		jj_give_up_t reason;
+		jj_failure_t reason;
 		jj_run_t run;
 	} cases[] = {
 	    {"not sent", JJ_BACKEND_NOT_SENT, false, false, true,
-		JJ_GIVE_UP_NONE, JJ_RUN_NOT_RUN},
+		JJ_FAILURE_NONE, JJ_RUN_NOT_RUN},
 	    {"refused unbegun", JJ_BACKEND_REFUSED, false, false, true,
-		JJ_GIVE_UP_NONE, JJ_RUN_NOT_RUN},
-	    {"leaving", JJ_BACKEND_LEAVING, false, false, true, JJ_GIVE_UP_NONE,
+		JJ_FAILURE_NONE, JJ_RUN_NOT_RUN},
+	    {"leaving", JJ_BACKEND_LEAVING, false, false, true, JJ_FAILURE_NONE,
 		JJ_RUN_NOT_RUN},
 	    {"failed, idempotent", JJ_BACKEND_FAILED, true, false, true,
-		JJ_GIVE_UP_NONE, JJ_RUN_NOT_RUN},
+		JJ_FAILURE_NONE, JJ_RUN_NOT_RUN},
 	    {"failed", JJ_BACKEND_FAILED, false, false, false,
-		JJ_GIVE_UP_BROKEN, JJ_RUN_UNKNOWN},
+		JJ_FAILURE_BROKEN, JJ_RUN_UNKNOWN},
 	    {"broken, idempotent", JJ_BACKEND_BROKEN, true, false, true,
-		JJ_GIVE_UP_NONE, JJ_RUN_NOT_RUN},
+		JJ_FAILURE_NONE, JJ_RUN_NOT_RUN},
 	    {"broken", JJ_BACKEND_BROKEN, false, false, false,
-		JJ_GIVE_UP_BROKEN, JJ_RUN_UNKNOWN},
+		JJ_FAILURE_BROKEN, JJ_RUN_UNKNOWN},
 	    {"timeout", JJ_BACKEND_TIMEOUT, false, false, false,
-		JJ_GIVE_UP_BROKEN, JJ_RUN_UNKNOWN},
+		JJ_FAILURE_BROKEN, JJ_RUN_UNKNOWN},
 	    {"broken in mid answer", JJ_BACKEND_BROKEN, true, true, false,
-		JJ_GIVE_UP_BROKEN, JJ_RUN_UNKNOWN},
+		JJ_FAILURE_BROKEN, JJ_RUN_UNKNOWN},
 	};
 	uint64_t number = 0;
 
@@ -571,7 +571,7 @@
 	EXPECT_EQ(46u, starts.size());
 	ASSERT_EQ(34u, answers.size());
 	for (const Answer &answer : answers) {
-		EXPECT_EQ(JJ_GIVE_UP_RETRIES, answer.reason);
+		EXPECT_EQ(JJ_FAILURE_RETRIES, answer.reason);
 		EXPECT_GE(answer.retry_after_ms, 1000);
 	}
 }
@@ -622,7 +622,7 @@
 	request.deadline_ms = now + 3000;
 	Begin(request);
 	ASSERT_NE(nullptr, AnswerOf(7));
-	EXPECT_EQ(JJ_GIVE_UP_DEADLINE, AnswerOf(7)->reason);
+	EXPECT_EQ(JJ_FAILURE_DEADLINE, AnswerOf(7)->reason);
 	EXPECT_EQ(JJ_RUN_NOT_RUN, AnswerOf(7)->run);
 	EXPECT_GE(AnswerOf(7)->retry_after_ms, 4000);
 }
@@ -636,7 +636,7 @@
 	request.deadline_ms = now;
 	Begin(request);
 	ASSERT_NE(nullptr, AnswerOf(1));
-	EXPECT_EQ(JJ_GIVE_UP_DEADLINE, AnswerOf(1)->reason);
+	EXPECT_EQ(JJ_FAILURE_DEADLINE, AnswerOf(1)->reason);
 	EXPECT_EQ(JJ_RUN_NOT_RUN, AnswerOf(1)->run);
 	EXPECT_EQ(0, StartsOf(1));
 }
@@ -658,7 +658,7 @@
 	EXPECT_EQ(nullptr, AnswerOf(3));
 	Tick(200);
 	ASSERT_NE(nullptr, AnswerOf(3));
-	EXPECT_EQ(JJ_GIVE_UP_DEADLINE, AnswerOf(3)->reason);
+	EXPECT_EQ(JJ_FAILURE_DEADLINE, AnswerOf(3)->reason);
 	EXPECT_EQ(0, StartsOf(3));
 }
 
@@ -687,7 +687,7 @@
 	BeginOnline(100, "shops");
 	EXPECT_EQ(nullptr, AnswerOf(100));
 	ASSERT_NE(nullptr, AnswerOf(11));
-	EXPECT_EQ(JJ_GIVE_UP_OVERLOADED, AnswerOf(11)->reason);
+	EXPECT_EQ(JJ_FAILURE_OVERLOADED, AnswerOf(11)->reason);
 	EXPECT_GT(AnswerOf(11)->retry_after_ms, 0);
 }
 
@@ -724,7 +724,7 @@
 	Crash(first.back() - '0', 7);
 	Crash(starts.back().server.back() - '0', 7);
 	ASSERT_NE(nullptr, AnswerOf(1));
-	EXPECT_EQ(JJ_GIVE_UP_QUARANTINED, AnswerOf(1)->reason);
+	EXPECT_EQ(JJ_FAILURE_QUARANTINED, AnswerOf(1)->reason);
 	EXPECT_EQ(0, AnswerOf(1)->retry_after_ms);
 	EXPECT_EQ(nullptr, AnswerOf(2));
 	Event(2, 1, JJ_BACKEND_DONE);
@@ -732,7 +732,7 @@
 	again.fingerprint = 1001;
 	Begin(again);
 	ASSERT_NE(nullptr, AnswerOf(3));
-	EXPECT_EQ(JJ_GIVE_UP_QUARANTINED, AnswerOf(3)->reason);
+	EXPECT_EQ(JJ_FAILURE_QUARANTINED, AnswerOf(3)->reason);
 }
 
 // Story 27: connections break at once, but probes detect the crashes later. A
@@ -750,7 +750,7 @@
 	Crash(starts[0].server.back() - '0', 7);
 	Crash(starts[1].server.back() - '0', 7);
 	ASSERT_NE(nullptr, AnswerOf(1));
-	EXPECT_EQ(JJ_GIVE_UP_QUARANTINED, AnswerOf(1)->reason);
+	EXPECT_EQ(JJ_FAILURE_QUARANTINED, AnswerOf(1)->reason);
 	EXPECT_EQ(2, StartsOf(1));
 	// Without a crash report the network was the cause: the request is
 	// retried.
@@ -817,7 +817,7 @@
 	ReportCrash(1001, "server-9");
 	Tick(30);
 	ASSERT_NE(nullptr, AnswerOf(1));
-	EXPECT_EQ(JJ_GIVE_UP_QUARANTINED, AnswerOf(1)->reason);
+	EXPECT_EQ(JJ_FAILURE_QUARANTINED, AnswerOf(1)->reason);
 	EXPECT_EQ(JJ_RUN_NOT_RUN, AnswerOf(1)->run);
 	EXPECT_EQ(1, StartsOf(2));
 }
@@ -1034,7 +1034,7 @@
 	Event(1, 4, JJ_BACKEND_NOT_SENT);
 	ASSERT_NE(nullptr, AnswerOf(1));
 	EXPECT_EQ(JJ_RUN_NOT_RUN, AnswerOf(1)->run);
-	EXPECT_EQ(JJ_GIVE_UP_NO_SERVER, AnswerOf(1)->reason);
+	EXPECT_EQ(JJ_FAILURE_NO_SERVER, AnswerOf(1)->reason);
 }
 
 // Story 27: this VM's only server broke the connection because it crashed. A
@@ -1102,7 +1102,7 @@
 	// Both are cancelled, the one with least lost work first.
 	ASSERT_EQ(2u, cancels.size());
 	EXPECT_EQ(2u, cancels[0]);
-	EXPECT_EQ(JJ_GIVE_UP_OVERLOADED, AnswerOf(2)->reason);
+	EXPECT_EQ(JJ_FAILURE_OVERLOADED, AnswerOf(2)->reason);
 	EXPECT_GT(AnswerOf(2)->retry_after_ms, 0);
 	NeighbourLoad(0, 0, 0);
 	EXPECT_EQ(0u, jj_dispatch_batch_capacity(dispatch, now));
@@ -1170,26 +1170,26 @@
 		bool then_resumable;
 		int starts; // all, with those elsewhere
 		bool answered;
-		jj_give_up_t reason;
+		jj_failure_t reason;
 	} cases[] = {
 	    {"goes on", true, true, JJ_BACKEND_DONE, false, 2, false,
-		JJ_GIVE_UP_NONE},
+		JJ_FAILURE_NONE},
 	    {"breaks again", true, true, JJ_BACKEND_BROKEN, true, 3, false,
-		JJ_GIVE_UP_NONE},
+		JJ_FAILURE_NONE},
 	    {"another boot", true, true, JJ_BACKEND_FAILED, false, 2, true,
-		JJ_GIVE_UP_BROKEN},
+		JJ_FAILURE_BROKEN},
 	    {"unknown stream", true, true, JJ_BACKEND_REJECTED, false, 2, true,
-		JJ_GIVE_UP_BROKEN},
+		JJ_FAILURE_BROKEN},
 	    {"leaving", true, true, JJ_BACKEND_LEAVING, false, 2, true,
-		JJ_GIVE_UP_BROKEN},
+		JJ_FAILURE_BROKEN},
 	    {"died", true, true, JJ_BACKEND_NOT_SENT, false, 2, true,
-		JJ_GIVE_UP_BROKEN},
+		JJ_FAILURE_BROKEN},
 	    {"unseen, died", true, false, JJ_BACKEND_NOT_SENT, false, 3, false,
-		JJ_GIVE_UP_NONE},
+		JJ_FAILURE_NONE},
 	    {"unseen, refused", true, false, JJ_BACKEND_REJECTED, false, 3,
-		false, JJ_GIVE_UP_NONE},
+		false, JJ_FAILURE_NONE},
 	    {"no stream", false, true, JJ_BACKEND_DONE, false, 1, true,
-		JJ_GIVE_UP_BROKEN},
+		JJ_FAILURE_BROKEN},
 	};
 	uint64_t number = 0;
 
@@ -1241,7 +1241,7 @@
 			Event(i, attempt, JJ_BACKEND_BROKEN, true, 0, true);
 		EXPECT_EQ(3, StartsOf(i));
 		ASSERT_NE(nullptr, AnswerOf(i));
-		EXPECT_EQ(JJ_GIVE_UP_BROKEN, AnswerOf(i)->reason);
+		EXPECT_EQ(JJ_FAILURE_BROKEN, AnswerOf(i)->reason);
 	}
 	// The floor of four is used up: resumes count as retries.
 	BeginOnline(3);
@@ -1339,7 +1339,7 @@
 	EXPECT_EQ(nullptr, AnswerOf(1));
 	Event(1, 2, JJ_BACKEND_FAILED);
 	ASSERT_NE(nullptr, AnswerOf(1));
-	EXPECT_EQ(JJ_GIVE_UP_BROKEN, AnswerOf(1)->reason);
+	EXPECT_EQ(JJ_FAILURE_BROKEN, AnswerOf(1)->reason);
 }
 
 // Story 14 in a domain of ten VMs: an online request goes to a server full of
@@ -1500,7 +1500,7 @@
 	jj_dispatch_drain(dispatch);
 	BeginOnline(2);
 	ASSERT_NE(nullptr, AnswerOf(2));
-	EXPECT_EQ(JJ_GIVE_UP_STOPPING, AnswerOf(2)->reason);
+	EXPECT_EQ(JJ_FAILURE_STOPPING, AnswerOf(2)->reason);
 	EXPECT_EQ(0u, jj_dispatch_batch_capacity(dispatch, now));
 	EXPECT_TRUE(cancels.empty());
 	Event(1, 1, JJ_BACKEND_DONE);
@@ -1554,7 +1554,7 @@
 	Build(0, 8);
 	BeginOnline(1);
 	ASSERT_NE(nullptr, AnswerOf(1));
-	EXPECT_EQ(JJ_GIVE_UP_NO_SERVER, AnswerOf(1)->reason);
+	EXPECT_EQ(JJ_FAILURE_NO_SERVER, AnswerOf(1)->reason);
 	EXPECT_EQ(JJ_RUN_NOT_RUN, AnswerOf(1)->run);
 	EXPECT_GT(AnswerOf(1)->retry_after_ms, 0);
 }
--- a/tests/core/event_stream_test.cc
+++ b/tests/core/event_stream_test.cc
@@ -19,7 +19,7 @@
 	int64_t last_id; /**< event after which the run resumes */
 	const char *bytes;
 	const char *passed; /**< bytes of the events returned */
-	jj_event_found_t end;
+	jj_event_result_t end;
 	bool rest;
 };
 
@@ -28,7 +28,7 @@
       protected:
 	jj_event_stream_t stream = {};
 	std::string passed;
-	jj_event_found_t found = JJ_EVENT_MORE;
+	jj_event_result_t found = JJ_EVENT_INCOMPLETE;
 
 	~EventStream() override
 	{
@@ -37,11 +37,11 @@
 	void
 	feed(const std::string &bytes)
 	{
-		jj_event_piece_t piece;
+		jj_stream_event_t piece;
 
 		jj_event_stream_feed(&stream, bytes.data(), bytes.size());
 		while ((found = jj_event_stream_next(&stream, &piece)) ==
-		    JJ_EVENT_WHOLE)
+		    JJ_EVENT_COMPLETE)
 			passed += std::string(piece.raw, piece.raw_size);
 	}
 };
@@ -52,7 +52,7 @@
 	feed(GetParam().bytes);
 	EXPECT_EQ(GetParam().passed, passed);
 	EXPECT_EQ(GetParam().end, found);
-	EXPECT_EQ(GetParam().rest, jj_event_stream_has_rest(&stream));
+	EXPECT_EQ(GetParam().rest, jj_event_stream_has_incomplete(&stream));
 }
 
 /* The result does not depend on how the bytes are split. */
@@ -71,36 +71,39 @@
 
 INSTANTIATE_TEST_SUITE_P(Streams, EventStream,
     ::testing::Values(
-	StreamCase{"FromZero", -1, E0 E1, E0 E1, JJ_EVENT_MORE, false},
-	StreamCase{"FromOne", -1, E1 E2, E1 E2, JJ_EVENT_MORE, false},
-	StreamCase{"CutInside", -1, E0 "id: 1\nda", E0, JJ_EVENT_MORE, true},
-	StreamCase{"GoesOn", 1, E2 E3, E2 E3, JJ_EVENT_MORE, false},
+	StreamCase{"FromZero", -1, E0 E1, E0 E1, JJ_EVENT_INCOMPLETE, false},
+	StreamCase{"FromOne", -1, E1 E2, E1 E2, JJ_EVENT_INCOMPLETE, false},
+	StreamCase{
+	    "CutInside", -1, E0 "id: 1\nda", E0, JJ_EVENT_INCOMPLETE, true},
+	StreamCase{"GoesOn", 1, E2 E3, E2 E3, JJ_EVENT_INCOMPLETE, false},
 	/* A server that was to resume the run restarted it. */
-	StreamCase{"BeganAnew", 1, E0 E1, "", JJ_EVENT_FOREIGN, true},
+	StreamCase{"BeganAnew", 1, E0 E1, "", JJ_EVENT_OUT_OF_SEQUENCE, true},
 	/* A second run follows the first in one answer. */
-	StreamCase{"TwoRuns", -1, E0 E1 E0 E1, E0 E1, JJ_EVENT_FOREIGN, true},
-	StreamCase{"Gap", -1, E0 E2, E0, JJ_EVENT_FOREIGN, true},
-	StreamCase{"Repeat", -1, E0 E0, E0, JJ_EVENT_FOREIGN, true},
-	StreamCase{"StartsLate", -1, E3, "", JJ_EVENT_FOREIGN, true},
-	StreamCase{"NoId", -1, "data: x\n\n", "", JJ_EVENT_FOREIGN, true},
 	StreamCase{
-	    "Comment", -1, ": hi\n\n" E0, ": hi\n\n" E0, JJ_EVENT_MORE, false},
+	    "TwoRuns", -1, E0 E1 E0 E1, E0 E1, JJ_EVENT_OUT_OF_SEQUENCE, true},
+	StreamCase{"Gap", -1, E0 E2, E0, JJ_EVENT_OUT_OF_SEQUENCE, true},
+	StreamCase{"Repeat", -1, E0 E0, E0, JJ_EVENT_OUT_OF_SEQUENCE, true},
+	StreamCase{"StartsLate", -1, E3, "", JJ_EVENT_OUT_OF_SEQUENCE, true},
+	StreamCase{
+	    "NoId", -1, "data: x\n\n", "", JJ_EVENT_OUT_OF_SEQUENCE, true},
+	StreamCase{"Comment", -1, ": hi\n\n" E0, ": hi\n\n" E0,
+	    JJ_EVENT_INCOMPLETE, false},
 	StreamCase{"FieldBefore", -1, "versions: 3\n" E0, "versions: 3\n" E0,
-	    JJ_EVENT_MORE, false},
+	    JJ_EVENT_INCOMPLETE, false},
 	StreamCase{"CarriageReturns", -1, "id:0\r\ndata:a\r\n\r\n",
-	    "id:0\r\ndata:a\r\n\r\n", JJ_EVENT_MORE, false},
+	    "id:0\r\ndata:a\r\n\r\n", JJ_EVENT_INCOMPLETE, false},
 	StreamCase{"Garbage", -1, "\x01\x02 zz\n\n", "\x01\x02 zz\n\n",
-	    JJ_EVENT_MORE, false}),
+	    JJ_EVENT_INCOMPLETE, false}),
     [](const auto &info) { return std::string(info.param.name); });
 
 TEST(EventPiece, JoinsItsDataByLineFeeds)
 {
 	const char raw[] = "id: 4\ndata: one\ndata:two\n\n";
-	jj_event_piece_t piece = {raw, sizeof(raw) - 1, 4, true};
+	jj_stream_event_t piece = {raw, sizeof(raw) - 1, 4, true};
 	jj_bytes_t text = {};
 
-	jj_event_piece_append_data(&piece, true, &text);
-	jj_event_piece_append_data(&piece, false, &text);
+	jj_stream_event_append_data(&piece, true, &text);
+	jj_stream_event_append_data(&piece, false, &text);
 	EXPECT_STREQ("one\ntwo\none\ntwo", text.data);
 	jj_bytes_free(&text);
 }
--- a/tests/core/gateway_config_test.cc
+++ b/tests/core/gateway_config_test.cc
@@ -15,7 +15,7 @@
 {
       protected:
 	/** reasons of refusals, by request */
-	std::map<uint64_t, jj_give_up_t> refused;
+	std::map<uint64_t, jj_failure_t> refused;
 
 	ConfigSpread() : GatewayFleet(VMS)
 	{
@@ -128,7 +128,7 @@
 	const char *seen; /**< what the watch of verona-1 returns, or NULL */
 	uint64_t elsewhere; /**< version in force at verona-2, or 0 */
 	/** reason of refusal of a request without a route */
-	jj_give_up_t reason;
+	jj_failure_t reason;
 	int status; /**< answer to a job without a route */
 };
 
@@ -145,7 +145,7 @@
 		vms["verona-2"].loses_messages = true;
 	}
 	void
-	expect_refused(jj_give_up_t reason, int status)
+	expect_refused(jj_failure_t reason, int status)
 	{
 		uint64_t request = begin("verona-1", "/none/1");
 		uint64_t job = submit("verona-1", "a");
@@ -169,7 +169,7 @@
 	run(2 * FLEET_STEP_MS);
 	expect_refused(param.reason, param.status);
 	see_config("verona-1", 30);
-	expect_refused(JJ_GIVE_UP_NO_SERVICE, 404);
+	expect_refused(JJ_FAILURE_NO_SERVICE, 404);
 }
 
 /* Guards against a VM whose configuration stays stale without a log line. */
@@ -188,9 +188,9 @@
 
 INSTANTIATE_TEST_SUITE_P(Newest, ConfigBehind,
     ::testing::Values(
-	BehindCase{"IsInForce", nullptr, 0, JJ_GIVE_UP_NO_SERVICE, 404},
-	BehindCase{"IsElsewhere", nullptr, 9, JJ_GIVE_UP_NO_CONFIG, 503},
-	BehindCase{"CannotBeRead", "?", 0, JJ_GIVE_UP_NO_CONFIG, 503}),
+	BehindCase{"IsInForce", nullptr, 0, JJ_FAILURE_NO_SERVICE, 404},
+	BehindCase{"IsElsewhere", nullptr, 9, JJ_FAILURE_NO_CONFIG, 503},
+	BehindCase{"CannotBeRead", "?", 0, JJ_FAILURE_NO_CONFIG, 503}),
     [](const auto &one) { return one.param.name; });
 
 } // namespace
--- a/tests/core/gateway_fixture.h
+++ b/tests/core/gateway_fixture.h
@@ -239,7 +239,7 @@
 		return outcomes[request].servers.size();
 	}
 	void
-	expect_end(uint64_t request, jj_give_up_t reason, jj_run_t run)
+	expect_end(uint64_t request, jj_failure_t reason, jj_run_t run)
 	{
 		EXPECT_EQ(1, outcomes[request].answers);
 		EXPECT_EQ(reason, outcomes[request].answer.reason);
--- a/tests/core/gateway_queue_test.cc
+++ b/tests/core/gateway_queue_test.cc
@@ -35,7 +35,7 @@
 	uint64_t request = begin("/once/1");
 
 	EXPECT_EQ(0U, attempts(request));
-	expect_end(request, JJ_GIVE_UP_OVERLOADED, JJ_RUN_NOT_RUN);
+	expect_end(request, JJ_FAILURE_OVERLOADED, JJ_RUN_NOT_RUN);
 	EXPECT_GT(outcomes[request].answer.retry_after_ms, 0);
 }
 
@@ -79,7 +79,7 @@
 		tick(25);
 	EXPECT_EQ(0, outcomes[first].answers);
 	tick(25);
-	expect_end(first, JJ_GIVE_UP_OVERLOADED, JJ_RUN_NOT_RUN);
+	expect_end(first, JJ_FAILURE_OVERLOADED, JJ_RUN_NOT_RUN);
 }
 
 /*
--- a/tests/core/gateway_servers_test.cc
+++ b/tests/core/gateway_servers_test.cc
@@ -75,7 +75,7 @@
 	EXPECT_EQ("s1", outcomes[again].servers[1]);
 	EXPECT_EQ(1U, outcomes[again].cancelled.size());
 	EXPECT_EQ(1U, attempts(once));
-	expect_end(once, JJ_GIVE_UP_BROKEN, JJ_RUN_UNKNOWN);
+	expect_end(once, JJ_FAILURE_BROKEN, JJ_RUN_UNKNOWN);
 	EXPECT_EQ(1U, server("s1")->online);
 }
 
@@ -122,7 +122,7 @@
 
 	report_event(again, JJ_BACKEND_FIRST, 200, true);
 	list_server("verona ready -20");
-	expect_end(begin("/once/1"), JJ_GIVE_UP_NO_SERVER, JJ_RUN_NOT_RUN);
+	expect_end(begin("/once/1"), JJ_FAILURE_NO_SERVER, JJ_RUN_NOT_RUN);
 	advance(500);
 	EXPECT_EQ(1U, attempts(again)) << "its process is still running";
 	list_server("verona ready -2");
@@ -139,7 +139,7 @@
 	list_server("verona ready -2");
 	list_server("verona ready -20");
 	advance(3900);
-	expect_end(begin("/once/1"), JJ_GIVE_UP_NO_SERVER, JJ_RUN_NOT_RUN);
+	expect_end(begin("/once/1"), JJ_FAILURE_NO_SERVER, JJ_RUN_NOT_RUN);
 	advance(200);
 	EXPECT_EQ(1U, attempts(begin("/once/1")));
 	EXPECT_EQ(UNIX_MS - 20000, server("s1")->info.started_ms);
@@ -149,7 +149,7 @@
 TEST_F(GatewayServer, ALaterStartEndsADrain)
 {
 	list_server("verona draining -20");
-	expect_end(begin("/once/1"), JJ_GIVE_UP_NO_SERVER, JJ_RUN_NOT_RUN);
+	expect_end(begin("/once/1"), JJ_FAILURE_NO_SERVER, JJ_RUN_NOT_RUN);
 	list_server("verona ready -1");
 	EXPECT_EQ(1U, attempts(begin("/once/1")));
 }
--- a/tests/core/gateway_test.cc
+++ b/tests/core/gateway_test.cc
@@ -38,7 +38,7 @@
 
 TEST_F(Gateway, RefusesWhatNoRouteAllows)
 {
-	expect_end(begin("/none/1"), JJ_GIVE_UP_NO_SERVICE, JJ_RUN_NOT_RUN);
+	expect_end(begin("/none/1"), JJ_FAILURE_NO_SERVICE, JJ_RUN_NOT_RUN);
 }
 
 TEST_F(Gateway, IsNotReadyWithoutAConfiguration)
@@ -46,7 +46,7 @@
 	platform.objects.erase("config/main");
 	create(true);
 	EXPECT_FALSE(jj_gateway_is_ready(gateway));
-	expect_end(begin("/once/1"), JJ_GIVE_UP_NO_CONFIG, JJ_RUN_NOT_RUN);
+	expect_end(begin("/once/1"), JJ_FAILURE_NO_CONFIG, JJ_RUN_NOT_RUN);
 }
 
 TEST_F(Gateway, TakesANewerConfigurationOnly)
@@ -66,7 +66,7 @@
 	for (int i = 0; i < 3; i++)
 		EXPECT_EQ("s2", outcomes[begin("/once/1")].servers[0]);
 	see(2, "servers/s2", "", true);
-	expect_end(begin("/once/1"), JJ_GIVE_UP_NO_SERVER, JJ_RUN_NOT_RUN);
+	expect_end(begin("/once/1"), JJ_FAILURE_NO_SERVER, JJ_RUN_NOT_RUN);
 }
 
 TEST_F(Gateway, AnswersAnOrderToEmptyItsVm)
@@ -148,7 +148,7 @@
 	tick(3990);
 	EXPECT_EQ(0, outcomes[request].answers);
 	tick(10);
-	expect_end(request, JJ_GIVE_UP_DEADLINE, JJ_RUN_UNKNOWN);
+	expect_end(request, JJ_FAILURE_DEADLINE, JJ_RUN_UNKNOWN);
 	EXPECT_EQ(1U, outcomes[request].cancelled.size());
 }
 
@@ -307,7 +307,7 @@
 		EXPECT_EQ(1U, attempts(begin("/once/1")));
 	uint64_t request = begin("/once/1");
 
-	expect_end(request, JJ_GIVE_UP_OVERLOADED, JJ_RUN_NOT_RUN);
+	expect_end(request, JJ_FAILURE_OVERLOADED, JJ_RUN_NOT_RUN);
 	EXPECT_EQ(250, outcomes[request].answer.retry_after_ms);
 	EXPECT_EQ(0U, attempts(request));
 }
@@ -360,7 +360,7 @@
 		now += 1000;
 	}
 	expect_end(
-	    begin("/once/p", 77), JJ_GIVE_UP_QUARANTINED, JJ_RUN_NOT_RUN);
+	    begin("/once/p", 77), JJ_FAILURE_QUARANTINED, JJ_RUN_NOT_RUN);
 	EXPECT_EQ(1U, attempts(begin("/once/o")));
 }
 
--- a/tests/core/inline_test.cc
+++ b/tests/core/inline_test.cc
@@ -578,7 +578,7 @@
  */
 TEST_F(InlineFailure, AVmWithAPendingWriteDoesNotReportResults)
 {
-	jj_job_standing_t states[4];
+	jj_job_progress_t states[4];
 	int executed = 0;
 
 	(void)a.submit("j", 2);
@@ -608,7 +608,7 @@
  */
 TEST_F(InlineFailure, AVmThatMissesHeartbeatsChecksBeforeItAnswers)
 {
-	jj_job_standing_t states[4];
+	jj_job_progress_t states[4];
 
 	(void)b.submit("j", 2);
 	pass(300);
@@ -741,7 +741,7 @@
 	};
 	jj_inline_leave(a.jobs, now, &a.out);
 	a.run_actions();
-	jj_job_standing_t states[4];
+	jj_job_progress_t states[4];
 	EXPECT_EQ(0U, jj_inline_list_states(a.jobs, states, 4));
 	uint64_t read = a.read("j", 0);
 	pass(2000);
@@ -752,7 +752,7 @@
 TEST_F(Inline, AReaderElsewhereQueriesOnlyForNewResults)
 {
 	const jj_name_t nobody = {};
-	jj_job_standing_t states[4];
+	jj_job_progress_t states[4];
 
 	(void)a.submit("j", 2);
 	pass(300);
@@ -781,8 +781,8 @@
 TEST_F(InlineFailure, AnOldReportDoesNotHideResults)
 {
 	const jj_name_t nobody = {};
-	jj_job_standing_t states[4];
-	jj_job_standing_t old_state;
+	jj_job_progress_t states[4];
+	jj_job_progress_t old_state;
 
 	(void)a.submit("j", 2);
 	pass(300);
--- a/tests/core/inline_world.h
+++ b/tests/core/inline_world.h
@@ -586,7 +586,7 @@
 inline void
 InlineVm::report_states(InlineVm &to)
 {
-	jj_job_standing_t states[8];
+	jj_job_progress_t states[8];
 	jj_name_t vm = {};
 	uint32_t count = jj_inline_list_states(jobs, states, 8);
 
--- a/tests/core/quarantine_test.cc
+++ b/tests/core/quarantine_test.cc
@@ -123,7 +123,7 @@
 {
 	jj_quarantine_settings_t settings = {2, 600000, 3600000, 100};
 	jj_quarantine_t *other = jj_quarantine_create(&settings);
-	jj_struck_t listed[2] = {};
+	jj_crash_record_t listed[2] = {};
 
 	crash("s1", 1, {1, POISON});
 	crash("s2", 1, {POISON});
--- a/tests/platform/config_test.cc
+++ b/tests/platform/config_test.cc
@@ -255,10 +255,10 @@
 	std::string one(100, 'a');
 	jj_name_t first, second;
 
-	jj_name_fit(&first, (one + "1").c_str());
-	jj_name_fit(&second, (one + "2").c_str());
+	jj_name_set_truncated(&first, (one + "1").c_str());
+	jj_name_set_truncated(&second, (one + "2").c_str());
 	EXPECT_FALSE(jj_name_equal(&first, &second));
-	jj_name_fit(&second, (one + "1").c_str());
+	jj_name_set_truncated(&second, (one + "1").c_str());
 	EXPECT_TRUE(jj_name_equal(&first, &second));
 }
 
@@ -271,7 +271,7 @@
 
 		while (text.size() < 2 * JJ_NAME_MAX)
 			text += ascii % 2 == 0 ? "\xc3\xa9" : "\xe2\x82\xac";
-		jj_name_fit(&name, text.c_str());
+		jj_name_set_truncated(&name, text.c_str());
 		EXPECT_TRUE(g_utf8_validate(name.text, -1, nullptr))
 		    << name.text;
 		EXPECT_LT((size_t)JJ_NAME_MAX - 4, strlen(name.text));
@@ -348,7 +348,7 @@
 	run(100);
 	begin("verona-1", "/bad/x");
 	ASSERT_EQ(1U, refusals.size());
-	EXPECT_EQ(JJ_GIVE_UP_NO_SERVER, refusals[0].reason);
+	EXPECT_EQ(JJ_FAILURE_NO_SERVER, refusals[0].reason);
 	EXPECT_EQ(JJ_RUN_NOT_RUN, refusals[0].run);
 	EXPECT_LT(0, refusals[0].retry_after_ms);
 }
