--- a/src/daemon/answers.c
+++ b/src/daemon/answers.c
@@ -101,7 +101,7 @@
 }
 
 jj_problem_t
-jj_problem_of_give_up(const jj_answer_t *answer)
+jj_problem_of_failure(const jj_answer_t *answer)
 {
 	static const char *const runs[] = {"not_run", "unknown", "run"};
 	jj_problem_t problem = {500, "internal", "Unexpected end.", NULL,
--- a/src/daemon/answers.h
+++ b/src/daemon/answers.h
@@ -30,7 +30,7 @@
 void jj_answer_json(jj_http_call_t *call, int status, const jj_bytes_t *json,
     jj_ms_t retry_after_ms);
 /** The problem of a request that the core abandoned. */
-jj_problem_t jj_problem_of_give_up(const jj_answer_t *answer);
+jj_problem_t jj_problem_of_failure(const jj_answer_t *answer);
 /** The problem of a non-idempotent call that has no server's answer. */
 jj_problem_t jj_problem_of_call(const jj_call_answer_t *answer);
 
--- a/src/daemon/assembler.c
+++ b/src/daemon/assembler.c
@@ -110,7 +110,7 @@
 }
 
 jj_bytes_t
-jj_assembler_ask(const jj_bytes_t *body)
+jj_assembler_make_stream_request(const jj_bytes_t *body)
 {
 	json_t *root = json_loadb(body->data, body->size, 0, NULL);
 	jj_bytes_t bytes = {NULL, 0};
--- a/src/daemon/assembler.h
+++ b/src/daemon/assembler.h
@@ -27,6 +27,6 @@
 jj_bytes_t jj_assembler_finish(jj_assembler_t *assembler);
 
 /** Copies a request body with "stream" set; empty if it is no JSON object. */
-jj_bytes_t jj_assembler_ask(const jj_bytes_t *body);
+jj_bytes_t jj_assembler_make_stream_request(const jj_bytes_t *body);
 
 #endif
--- a/src/daemon/gateway_node.c
+++ b/src/daemon/gateway_node.c
@@ -62,7 +62,7 @@
 {
 	atomic_store(&node->leaving, true);
 	atomic_store(&node->idle, false);
-	jj_stream_relay_close_callers(node->relay);
+	jj_stream_relay_close_connections(node->relay);
 	jj_gateway_post_leave(node);
 }
 
--- a/src/daemon/health.c
+++ b/src/daemon/health.c
@@ -98,7 +98,7 @@
 }
 
 void
-jj_health_watch_look(jj_health_watch_t *watch, const jj_name_t *server,
+jj_health_watch_probe(jj_health_watch_t *watch, const jj_name_t *server,
     const char *address, bool with_load)
 {
 	record_t *record;
@@ -114,7 +114,7 @@
 }
 
 void
-jj_health_watch_hold(jj_health_watch_t *watch, const jj_name_t *server,
+jj_health_watch_defer_event(jj_health_watch_t *watch, const jj_name_t *server,
     const char *address, void *event)
 {
 	deferred_t *deferred = jj_alloc(sizeof(*deferred));
@@ -130,11 +130,11 @@
 	deferred->min_probe = record->probes + 1;
 	STAILQ_INSERT_TAIL(&record->deferred, deferred, link);
 	(void)apr_thread_mutex_unlock(watch->lock);
-	jj_health_watch_look(watch, server, address, false);
+	jj_health_watch_probe(watch, server, address, false);
 }
 
 bool
-jj_health_watch_is_cut(jj_health_watch_t *watch, const jj_name_t *server)
+jj_health_watch_is_probe_cut(jj_health_watch_t *watch, const jj_name_t *server)
 {
 	bool is_cut;
 
@@ -145,13 +145,13 @@
 }
 
 bool
-jj_health_watch_has_cut(const jj_health_watch_t *watch)
+jj_health_watch_has_cut_probe(const jj_health_watch_t *watch)
 {
 	return atomic_load(&watch->has_cut);
 }
 
 void
-jj_health_watch_look_again(jj_health_watch_t *watch)
+jj_health_watch_retry_probes(jj_health_watch_t *watch)
 {
 	jj_name_t server = {""};
 	GHashTableIter iterator;
@@ -269,7 +269,7 @@
 	const char *text = json_string_value(json_object_get(json, "boot"));
 	jj_health_t health = answered ? JJ_HEALTH_UP
 	    : end == JJ_HTTP_NOT_SENT ? JJ_HEALTH_DOWN
-				      : JJ_HEALTH_UNSURE;
+				      : JJ_HEALTH_UNKNOWN;
 	uint64_t seen = text != NULL ? strtoull(text, NULL, 16) : 0;
 	record_t *record;
 
@@ -280,7 +280,7 @@
 	*boot = record->boot;
 	if (seen != 0) {
 		if (record->boot != 0 && record->boot != seen)
-			health = JJ_HEALTH_REBORN;
+			health = JJ_HEALTH_RESTARTED;
 		else
 			*boot = seen;
 		record->boot = seen;
@@ -348,7 +348,7 @@
 		free(deferred);
 	}
 	if (more)
-		jj_health_watch_look(watch, server, address, false);
+		jj_health_watch_probe(watch, server, address, false);
 }
 
 static void
--- a/src/daemon/health.h
+++ b/src/daemon/health.h
@@ -19,9 +19,9 @@
 /** Result of a health check. */
 typedef enum {
 	JJ_HEALTH_UP,
-	JJ_HEALTH_REBORN, /**< answers, but as another process than before */
+	JJ_HEALTH_RESTARTED, /**< answers, but as another process than before */
 	JJ_HEALTH_DOWN, /**< connection refused */
-	JJ_HEALTH_UNSURE, /**< no valid answer: slow, or unreachable */
+	JJ_HEALTH_UNKNOWN, /**< no valid answer: slow, or unreachable */
 } jj_health_t;
 
 typedef struct {
@@ -47,17 +47,18 @@
  * Starts a health check, unless one of this server is in progress.
  * @param with_load query the load (GET /load) instead of GET /health.
  */
-void jj_health_watch_look(jj_health_watch_t *watch, const jj_name_t *server,
+void jj_health_watch_probe(jj_health_watch_t *watch, const jj_name_t *server,
     const char *address, bool with_load);
 /** Holds an event back until a health check begun after it has ended. */
-void jj_health_watch_hold(jj_health_watch_t *watch, const jj_name_t *server,
-    const char *address, void *event);
+void jj_health_watch_defer_event(jj_health_watch_t *watch,
+    const jj_name_t *server, const char *address, void *event);
 
 /** True when this server's last check was cut off and will be retried. */
-bool jj_health_watch_is_cut(jj_health_watch_t *watch, const jj_name_t *server);
+bool
+jj_health_watch_is_probe_cut(jj_health_watch_t *watch, const jj_name_t *server);
 /** True while a check of some server was cut off and has to be retried. */
-bool jj_health_watch_has_cut(const jj_health_watch_t *watch);
+bool jj_health_watch_has_cut_probe(const jj_health_watch_t *watch);
 /** Retries the checks that were cut off while events were held back. */
-void jj_health_watch_look_again(jj_health_watch_t *watch);
+void jj_health_watch_retry_probes(jj_health_watch_t *watch);
 
 #endif
--- a/src/daemon/node.c
+++ b/src/daemon/node.c
@@ -22,8 +22,8 @@
 static void take_message(void *, jj_message_t *);
 static void take_control_result(void *, jj_platform_result_t *);
 static void take_bulk_result(void *, jj_platform_result_t *);
-static void take_backend(
-    void *, const jj_backend_event_t *, jj_whole_t *, const jj_name_t *, bool);
+static void take_backend(void *, const jj_backend_event_t *,
+    jj_backend_answer_t *, const jj_name_t *, bool);
 static void take_leaving(void *, const jj_name_t *);
 static void take_health(void *, const jj_name_t *, jj_health_t, uint64_t);
 static void take_report(void *, const jj_name_t *, uint32_t, uint32_t, jj_ms_t);
@@ -258,8 +258,8 @@
 }
 
 static void
-take_backend(void *ctx, const jj_backend_event_t *event, jj_whole_t *response,
-    const jj_name_t *server, bool suspect)
+take_backend(void *ctx, const jj_backend_event_t *event,
+    jj_backend_answer_t *response, const jj_name_t *server, bool suspect)
 {
 	jj_node_post_backend(ctx, event, response, server, suspect);
 }
@@ -274,7 +274,7 @@
 take_health(
     void *ctx, const jj_name_t *server, jj_health_t health, uint64_t boot)
 {
-	if (health == JJ_HEALTH_UNSURE)
+	if (health == JJ_HEALTH_UNKNOWN)
 		return;
 	/*
 	 * A server in another failure domain may crash before its boot number
--- a/src/daemon/node.h
+++ b/src/daemon/node.h
@@ -125,7 +125,7 @@
 void jj_node_post_message(jj_node_t *node, jj_message_t *message);
 void jj_node_post_platform(jj_node_t *node, jj_platform_result_t *result);
 void jj_node_post_backend(jj_node_t *node, const jj_backend_event_t *event,
-    jj_whole_t *response, const jj_name_t *server, bool suspect);
+    jj_backend_answer_t *response, const jj_name_t *server, bool suspect);
 void jj_node_post_server(jj_node_t *node, const jj_name_t *server,
     jj_server_state_t state, uint64_t boot, bool crashed);
 void jj_node_post_report(jj_node_t *node, const jj_name_t *server,
@@ -193,8 +193,8 @@
 void jj_node_finish_failed(jj_node_t *node, const jj_answer_t *answer);
 void jj_node_finish_call(
     jj_node_t *node, uint64_t request, const jj_call_answer_t *answer);
-void jj_node_finish_response(
-    jj_node_t *node, uint64_t request, bool rejected, jj_whole_t *response);
+void jj_node_finish_response(jj_node_t *node, uint64_t request, bool rejected,
+    jj_backend_answer_t *response);
 void jj_node_drop_exchange(jj_node_t *node, uint64_t request);
 
 /* Uploads (node_uploads.c). */
--- a/src/daemon/node_batch.c
+++ b/src/daemon/node_batch.c
@@ -398,7 +398,7 @@
 static void
 request_as_stream(jj_exchange_t *exchange)
 {
-	jj_bytes_t streamed = jj_assembler_ask(&exchange->body);
+	jj_bytes_t streamed = jj_assembler_make_stream_request(&exchange->body);
 
 	if (streamed.size == 0)
 		return;
--- a/src/daemon/node_control.c
+++ b/src/daemon/node_control.c
@@ -30,7 +30,7 @@
 	char key[JJ_IDEMPOTENCY_KEY_MAX + 1];
 	char trace[JJ_TRACE_PARENT_SIZE];
 	char operator_name[JJ_NAME_MAX + 1];
-	jj_whole_t response;
+	jj_backend_answer_t response;
 	jj_name_t server;
 } event_task_t;
 
@@ -104,7 +104,7 @@
 
 void
 jj_node_post_backend(jj_node_t *node, const jj_backend_event_t *event,
-    jj_whole_t *response, const jj_name_t *server, bool suspect)
+    jj_backend_answer_t *response, const jj_name_t *server, bool suspect)
 {
 	event_task_t *task = create_task(JJ_EVENT_BACKEND);
 	char address[JJ_NAME_MAX + 1];
@@ -121,7 +121,8 @@
 	    jj_relay_address(
 		node->relay, event->request, address, sizeof(address));
 	if (suspect && event->kind != JJ_BACKEND_NOT_SENT) {
-		jj_health_watch_hold(node->health, server, address, task);
+		jj_health_watch_defer_event(
+		    node->health, server, address, task);
 		return;
 	}
 	/*
@@ -131,7 +132,7 @@
 	 */
 	jj_loop_post(node->control, &task->task);
 	if (suspect)
-		jj_health_watch_look(node->health, server, address, false);
+		jj_health_watch_probe(node->health, server, address, false);
 }
 
 void
@@ -141,7 +142,7 @@
 	event_task_t *task = deferred;
 
 	task->event.body.backend.event.probe_cut =
-	    jj_health_watch_is_cut(node->health, &task->server);
+	    jj_health_watch_is_probe_cut(node->health, &task->server);
 	jj_loop_post(node->control, &task->task);
 }
 
@@ -232,7 +233,7 @@
 	const jj_node_t *node = ctx;
 	jj_ms_t next = jj_core_next(node->core);
 
-	if (jj_health_watch_has_cut(node->health) &&
+	if (jj_health_watch_has_cut_probe(node->health) &&
 	    node->next_recheck_ms < next)
 		next = node->next_recheck_ms;
 	return next < node->next_health_check_ms ? next
@@ -248,7 +249,7 @@
 	handle_event(node, &event, now);
 	if (now >= node->next_recheck_ms) {
 		node->next_recheck_ms = now + RECHECK_MS;
-		jj_health_watch_look_again(node->health);
+		jj_health_watch_retry_probes(node->health);
 	}
 	if (now >= node->next_health_check_ms) {
 		node->next_health_check_ms = now + HEALTH_CHECK_MS;
@@ -447,7 +448,7 @@
 	    jj_trace_parse_parent(action->body.item.trace, &parent);
 
 	exchange.request = action->body.item.item;
-	exchange.kind = JJ_EXCHANGE_RUN;
+	exchange.kind = JJ_EXCHANGE_LEDGER_CALL;
 	exchange.service = action->body.item.service;
 	exchange.deadline_ms = action->body.item.due_ms;
 	exchange.path = action->body.item.path;
@@ -591,7 +592,7 @@
 		service = jj_config_service(
 		    jj_core_config(node->core), servers[i].service.text);
 		is_model = service != NULL && service->kind == JJ_SERVICE_MODEL;
-		jj_health_watch_look(node->health, &servers[i].name,
+		jj_health_watch_probe(node->health, &servers[i].name,
 		    servers[i].address, is_model);
 	}
 }
@@ -606,7 +607,7 @@
     jj_node_t *node, const jj_server_t *server, jj_ms_t now)
 {
 	if (now >= server->down_until_ms)
-		jj_health_watch_look(
+		jj_health_watch_probe(
 		    node->health, &server->name, server->address, false);
 }
 
--- a/src/daemon/node_finish.c
+++ b/src/daemon/node_finish.c
@@ -13,13 +13,13 @@
 
 static void end_with_problem(jj_exchange_t *, bool, const jj_problem_t *);
 static jj_item_outcome_t outcome_of(const jj_answer_t *);
-static void send_response(jj_exchange_t *, bool, const jj_whole_t *);
+static void send_response(jj_exchange_t *, bool, const jj_backend_answer_t *);
 static void log_answer(const jj_exchange_t *, int, const char *, const char *);
 
 void
 jj_node_finish_failed(jj_node_t *node, const jj_answer_t *answer)
 {
-	jj_problem_t problem = jj_problem_of_give_up(answer);
+	jj_problem_t problem = jj_problem_of_failure(answer);
 	jj_exchange_t exchange;
 	bool relayed;
 
@@ -40,7 +40,7 @@
     jj_node_t *node, uint64_t request, const jj_call_answer_t *answer)
 {
 	jj_problem_t problem = jj_problem_of_call(answer);
-	jj_whole_t response = {
+	jj_backend_answer_t response = {
 	    answer->status, "application/json", answer->body};
 	jj_exchange_t exchange;
 	bool relayed;
@@ -58,8 +58,8 @@
 }
 
 void
-jj_node_finish_response(
-    jj_node_t *node, uint64_t request, bool rejected, jj_whole_t *response)
+jj_node_finish_response(jj_node_t *node, uint64_t request, bool rejected,
+    jj_backend_answer_t *response)
 {
 	jj_exchange_t exchange;
 	bool relayed;
@@ -131,7 +131,7 @@
 
 static void
 send_response(
-    jj_exchange_t *exchange, bool replayed, const jj_whole_t *response)
+    jj_exchange_t *exchange, bool replayed, const jj_backend_answer_t *response)
 {
 	jj_http_answer_t answer = {response->status,
 	    response->content_type[0] != '\0' ? response->content_type
--- a/src/daemon/relay.c
+++ b/src/daemon/relay.c
@@ -95,8 +95,8 @@
 classify_end(const attempt_t *, jj_http_end_t, const jj_http_head_t *);
 static jj_backend_kind_t
 classify_status(const attempt_t *, const jj_http_head_t *);
-static void post_event(
-    attempt_t *, jj_backend_kind_t, uint32_t, jj_ms_t, jj_whole_t *, bool);
+static void post_event(attempt_t *, jj_backend_kind_t, uint32_t, jj_ms_t,
+    jj_backend_answer_t *, bool);
 static void report_progress(attempt_t *);
 static void cancel_at_server(shard_t *, const entry_t *);
 static jj_http_flow_t ignore_data(void *, const char *, size_t);
@@ -219,7 +219,7 @@
 reject_second_run(jj_relay_t *relay, const jj_backend_start_t *start)
 {
 	jj_backend_event_t event = {0};
-	jj_whole_t no_answer = {0};
+	jj_backend_answer_t no_answer = {0};
 
 	event.request = start->request;
 	event.attempt = start->attempt;
@@ -477,7 +477,7 @@
 	if (attempt->assembles) {
 		jj_assembler_feed(
 		    entry->assembler, attempt->sse.pending, attempt->sse.whole);
-		jj_sse_drop_whole(&attempt->sse);
+		jj_sse_drop_complete(&attempt->sse);
 		return true;
 	}
 	if (!entry->begun)
@@ -485,7 +485,7 @@
 	if (!jj_http_call_write(entry->exchange.call, attempt->sse.pending,
 		attempt->sse.whole, force))
 		return false;
-	jj_sse_drop_whole(&attempt->sse);
+	jj_sse_drop_complete(&attempt->sse);
 	attempt->relayed = true;
 	return true;
 }
@@ -516,7 +516,7 @@
 {
 	attempt_t *attempt = ctx;
 	jj_backend_kind_t kind = classify_end(attempt, end, head);
-	jj_whole_t answer = {0};
+	jj_backend_answer_t answer = {0};
 	bool is_current = false;
 	bool suspect = end == JJ_HTTP_BROKEN || end == JJ_HTTP_NOT_SENT;
 	shard_t *shard;
@@ -628,7 +628,7 @@
 
 static void
 post_event(attempt_t *attempt, jj_backend_kind_t kind, uint32_t tokens,
-    jj_ms_t retry_after_ms, jj_whole_t *answer, bool suspect)
+    jj_ms_t retry_after_ms, jj_backend_answer_t *answer, bool suspect)
 {
 	jj_backend_event_t event = {0};
 
--- a/src/daemon/relay.h
+++ b/src/daemon/relay.h
@@ -26,7 +26,7 @@
 typedef enum {
 	JJ_EXCHANGE_CALLER, /**< a caller, on its HTTP call */
 	JJ_EXCHANGE_ITEM, /**< the batch worker */
-	JJ_EXCHANGE_RUN, /**< the ledger: a non-idempotent call */
+	JJ_EXCHANGE_LEDGER_CALL, /**< the ledger: a non-idempotent call */
 } jj_exchange_kind_t;
 
 /** A request and where its answer goes; copied by value. */
@@ -51,7 +51,7 @@
 	int status;
 	char content_type[96];
 	jj_bytes_t body; /**< owned */
-} jj_whole_t;
+} jj_backend_answer_t;
 
 /** Events of the relay; called on a shard's thread. */
 typedef struct {
@@ -65,7 +65,7 @@
 	 * have crashed.
 	 */
 	void (*on_event)(void *ctx, const jj_backend_event_t *event,
-	    jj_whole_t *answer, const jj_name_t *server, bool suspect);
+	    jj_backend_answer_t *answer, const jj_name_t *server, bool suspect);
 	/** A server reported that it is leaving. */
 	void (*on_leaving)(void *ctx, const jj_name_t *server);
 } jj_relay_port_t;
--- a/src/daemon/sse.c
+++ b/src/daemon/sse.c
@@ -33,7 +33,7 @@
 }
 
 void
-jj_sse_drop_whole(jj_sse_t *sse)
+jj_sse_drop_complete(jj_sse_t *sse)
 {
 	sse->size -= sse->whole;
 	memmove(sse->pending, sse->pending + sse->whole, sse->size);
--- a/src/daemon/sse.h
+++ b/src/daemon/sse.h
@@ -32,7 +32,7 @@
 /** Adds received bytes and finds the complete events in them. */
 void jj_sse_feed(jj_sse_t *sse, const char *data, size_t size);
 /** Removes the complete events, after they were forwarded. */
-void jj_sse_drop_whole(jj_sse_t *sse);
+void jj_sse_drop_complete(jj_sse_t *sse);
 /** Returns the number of tokens counted since the last call. */
 uint32_t jj_sse_take_tokens(jj_sse_t *sse);
 void jj_sse_clear(jj_sse_t *sse);
--- a/src/daemon/stream_relay.c
+++ b/src/daemon/stream_relay.c
@@ -124,7 +124,7 @@
 }
 
 void
-jj_stream_relay_close_callers(jj_stream_relay_t *relay)
+jj_stream_relay_close_connections(jj_stream_relay_t *relay)
 {
 	(void)apr_thread_mutex_lock(relay->lock);
 	relay->close_connections = true;
--- a/src/daemon/stream_relay.h
+++ b/src/daemon/stream_relay.h
@@ -49,7 +49,7 @@
 void jj_stream_relay_destroy(jj_stream_relay_t *relay);
 
 /** From now on answers close their callers' connections. */
-void jj_stream_relay_close_callers(jj_stream_relay_t *relay);
+void jj_stream_relay_close_connections(jj_stream_relay_t *relay);
 
 void jj_stream_relay_add(
     jj_stream_relay_t *relay, const jj_stream_exchange_t *exchange);
--- a/tests/adapters/health_test.cc
+++ b/tests/adapters/health_test.cc
@@ -37,7 +37,8 @@
 	void
 	defer_event()
 	{
-		jj_health_watch_hold(watch, &name, address.c_str(), this);
+		jj_health_watch_defer_event(
+		    watch, &name, address.c_str(), this);
 	}
 	/** Closes the probe's connection, as a terminating process does. */
 	void
@@ -105,23 +106,23 @@
 	defer_event();
 	cut_probe();
 	ASSERT_TRUE(wait_for(1, 1));
-	EXPECT_EQ(JJ_HEALTH_UNSURE, last_seen());
-	EXPECT_TRUE(jj_health_watch_has_cut(watch));
+	EXPECT_EQ(JJ_HEALTH_UNKNOWN, last_seen());
+	EXPECT_TRUE(jj_health_watch_has_cut_probe(watch));
 	server.reset();
-	jj_health_watch_look_again(watch);
+	jj_health_watch_retry_probes(watch);
 	ASSERT_TRUE(wait_for(2, 1));
 	EXPECT_EQ(JJ_HEALTH_DOWN, last_seen());
-	jj_health_watch_look_again(watch);
-	EXPECT_FALSE(jj_health_watch_has_cut(watch));
+	jj_health_watch_retry_probes(watch);
+	EXPECT_FALSE(jj_health_watch_has_cut_probe(watch));
 }
 
 /* Guards against endless probes of a server that cuts off each of them. */
 TEST_F(HealthWatch, AProbeThatNoEventWaitsForIsNotRetried)
 {
-	jj_health_watch_look(watch, &name, address.c_str(), false);
+	jj_health_watch_probe(watch, &name, address.c_str(), false);
 	cut_probe();
 	ASSERT_TRUE(wait_for(1, 0));
-	EXPECT_FALSE(jj_health_watch_has_cut(watch));
+	EXPECT_FALSE(jj_health_watch_has_cut_probe(watch));
 }
 
 } // namespace
--- a/tests/adapters/relay_test.cc
+++ b/tests/adapters/relay_test.cc
@@ -99,8 +99,8 @@
 		self->changed.notify_all();
 	}
 	static void
-	on_event(void *ctx, const jj_backend_event_t *event, jj_whole_t *,
-	    const jj_name_t *, bool)
+	on_event(void *ctx, const jj_backend_event_t *event,
+	    jj_backend_answer_t *, const jj_name_t *, bool)
 	{
 		auto *self = static_cast<Relay *>(ctx);
 		std::lock_guard<std::mutex> guard(self->lock);
--- a/tests/fuzz/sse.c
+++ b/tests/fuzz/sse.c
@@ -24,7 +24,7 @@
 		jj_sse_feed(&sse, (const char *)data, taken);
 		JJ_INVARIANT(sse.whole <= sse.size);
 		jj_assembler_feed(assembler, sse.pending, sse.whole);
-		jj_sse_drop_whole(&sse);
+		jj_sse_drop_complete(&sse);
 		data += taken;
 		size -= taken;
 	}
