--- a/src/daemon/gateway_node.c
+++ b/src/daemon/gateway_node.c
@@ -67,7 +67,7 @@
 }
 
 void
-jj_gateway_node_refuse(jj_gateway_node_t *node)
+jj_gateway_node_reject_requests(jj_gateway_node_t *node)
 {
 	atomic_store(&node->rejecting, true);
 }
--- a/src/daemon/gateway_node.h
+++ b/src/daemon/gateway_node.h
@@ -63,7 +63,7 @@
 /** Begins a planned stop; the readiness check fails for the balancer. */
 void jj_gateway_node_leave(jj_gateway_node_t *node);
 /** Rejects new requests; called later in a planned stop. */
-void jj_gateway_node_refuse(jj_gateway_node_t *node);
+void jj_gateway_node_reject_requests(jj_gateway_node_t *node);
 /** True when a planned stop has drained all work. */
 bool jj_gateway_node_is_idle(jj_gateway_node_t *node);
 void jj_gateway_node_destroy(jj_gateway_node_t *node);
--- a/src/daemon/main.c
+++ b/src/daemon/main.c
@@ -197,7 +197,7 @@
 		/* The balancer had time to remove this VM: refuse late requests. */
 		if (jj_monotonic_now() >=
 		    stop_begin_ms + settings->stop.least_ms)
-			jj_gateway_node_refuse(node);
+			jj_gateway_node_reject_requests(node);
 		(void)wait_for_signal(signals, DRAIN_POLL_MS);
 	}
 	jj_log(JJ_LOG_INFO, "stopped", "status=0 idle=%d took_ms=%lld",
