--- a/src/adapters/http_client.c
+++ b/src/adapters/http_client.c
@@ -468,7 +468,8 @@
 
 	if (transfer->request.begin_ms == 0)
 		return;
-	idle_deadline_ms = jj_monotonic_now() + transfer->request.silence_ms;
+	idle_deadline_ms =
+	    jj_monotonic_now() + transfer->request.read_timeout_ms;
 	if (idle_deadline_ms > transfer->idle_deadline_ms)
 		transfer->idle_deadline_ms = idle_deadline_ms;
 }
@@ -576,7 +577,7 @@
 	for (i = 0; i < request->more_header_count; i++)
 		transfer->headers = curl_slist_append(
 		    transfer->headers, request->more_headers[i]);
-	if (request->verbatim)
+	if (request->no_default_headers)
 		remove_default_headers(transfer);
 	(void)curl_easy_setopt(
 	    transfer->easy, CURLOPT_HTTPHEADER, transfer->headers);
--- a/src/adapters/http_client.h
+++ b/src/adapters/http_client.h
@@ -37,7 +37,7 @@
 
 /** Result of a data callback. */
 typedef enum {
-	JJ_HTTP_TAKEN,
+	JJ_HTTP_CONSUMED,
 	JJ_HTTP_PAUSE, /**< not consumed: deliver again after a resume */
 } jj_http_flow_t;
 
@@ -51,7 +51,7 @@
 	size_t body_size;
 	jj_ms_t timeout_ms; /**< for the whole request; 0: none */
 	jj_ms_t begin_ms; /**< timeout until the answer begins; 0: none */
-	jj_ms_t silence_ms; /**< then between reads, if begin_ms is set */
+	jj_ms_t read_timeout_ms; /**< then between reads, if begin_ms is set */
 	/**
 	 * Use a new connection, and only for this request. libcurl retries a
 	 * request when a reused connection closes before the first byte of
@@ -63,7 +63,7 @@
 	char *const *more_headers;
 	size_t more_header_count;
 	/** Send only the headers given here, none of libcurl's defaults. */
-	bool verbatim;
+	bool no_default_headers;
 	jj_ms_t connect_ms; /**< connect timeout; 0: the default */
 	void *ctx;
 	void (*on_head)(void *ctx, const jj_http_head_t *head); /**< or NULL */
--- a/src/adapters/http_server.c
+++ b/src/adapters/http_server.c
@@ -183,7 +183,7 @@
 }
 
 uint32_t
-jj_http_server_open(const jj_http_server_t *server)
+jj_http_server_open_count(const jj_http_server_t *server)
 {
 	return atomic_load(&server->open_count);
 }
@@ -272,7 +272,7 @@
 }
 
 void
-jj_http_call_begin(jj_http_call_t *call, const jj_http_answer_t *answer)
+jj_http_call_begin_stream(jj_http_call_t *call, const jj_http_answer_t *answer)
 {
 	struct MHD_Response *response = MHD_create_response_from_callback(
 	    MHD_SIZE_UNKNOWN, STREAM_BLOCK_BYTES, read_stream, call, NULL);
@@ -317,7 +317,7 @@
 }
 
 bool
-jj_http_call_has_room(jj_http_call_t *call)
+jj_http_call_is_writable(jj_http_call_t *call)
 {
 	bool writable;
 
@@ -331,7 +331,7 @@
 }
 
 bool
-jj_http_call_is_gone(jj_http_call_t *call)
+jj_http_call_is_disconnected(jj_http_call_t *call)
 {
 	bool disconnected;
 
@@ -342,7 +342,7 @@
 }
 
 void
-jj_http_call_end(jj_http_call_t *call, bool broken)
+jj_http_call_end_stream(jj_http_call_t *call, bool broken)
 {
 	(void)apr_thread_mutex_lock(call->lock);
 	call->state = CALL_ENDED;
@@ -353,7 +353,7 @@
 }
 
 void
-jj_http_call_continue(jj_http_call_t *call)
+jj_http_call_resume_upload(jj_http_call_t *call)
 {
 	(void)apr_thread_mutex_lock(call->lock);
 	resume_connection(call);
@@ -361,7 +361,7 @@
 }
 
 void
-jj_http_call_hold(jj_http_call_t *call)
+jj_http_call_retain(jj_http_call_t *call)
 {
 	(void)atomic_fetch_add(&call->references, 1);
 }
@@ -485,10 +485,10 @@
 
 	if (!call->passed_to_port) {
 		call->passed_to_port = true;
-		jj_http_call_hold(call);
+		jj_http_call_retain(call);
 	}
 	/*
-	 * Suspend before calling the port: jj_http_call_continue may run on
+	 * Suspend before calling the port: jj_http_call_resume_upload may run on
 	 * another thread during the call. If it found the connection not
 	 * suspended, it would have no effect and the upload would stall.
 	 */
@@ -525,7 +525,7 @@
 		(void)apr_thread_mutex_unlock(call->lock);
 		if (first) {
 			if (!call->passed_to_port)
-				jj_http_call_hold(call);
+				jj_http_call_retain(call);
 			call->passed_to_port = true;
 			port->on_request(port->ctx, call);
 		}
@@ -558,7 +558,7 @@
 	jj_http_answer_t answer = {
 	    413, "application/problem+json", {{NULL, NULL}}, NULL, 0};
 
-	jj_http_call_hold(call);
+	jj_http_call_retain(call);
 	call->too_large = false;
 	jj_http_call_answer(call, &answer, body, sizeof(body) - 1);
 }
@@ -587,8 +587,8 @@
 	unfinished = call->passed_to_port && call->state != CALL_ANSWERED &&
 	    call->state != CALL_ENDED;
 	(void)apr_thread_mutex_unlock(call->lock);
-	if (unfinished && !notified && server->port.on_gone != NULL)
-		server->port.on_gone(server->port.ctx, call);
+	if (unfinished && !notified && server->port.on_disconnect != NULL)
+		server->port.on_disconnect(server->port.ctx, call);
 	(void)atomic_fetch_sub(&server->open_count, 1);
 	jj_http_call_release(call);
 }
@@ -709,7 +709,7 @@
 		}
 	}
 	if (call != NULL)
-		jj_http_call_hold(call);
+		jj_http_call_retain(call);
 	(void)apr_thread_mutex_unlock(server->lock);
 	return call;
 }
@@ -717,8 +717,8 @@
 static void
 notify_disconnect(jj_http_server_t *server, jj_http_call_t *call)
 {
-	if (server->port.on_gone != NULL)
-		server->port.on_gone(server->port.ctx, call);
+	if (server->port.on_disconnect != NULL)
+		server->port.on_disconnect(server->port.ctx, call);
 	(void)apr_thread_mutex_lock(call->lock);
 	resume_connection(call);
 	(void)apr_thread_mutex_unlock(call->lock);
--- a/src/adapters/http_server.h
+++ b/src/adapters/http_server.h
@@ -50,12 +50,12 @@
 	bool (*takes_upload)(void *ctx, const jj_http_call_t *call);
 	/**
 	 * Receives bytes of an upload; returns how many it consumed. The rest
-	 * is passed again, after 0 only when jj_http_call_continue was called.
+	 * is passed again, after 0 only when jj_http_call_resume_upload was called.
 	 */
 	size_t (*on_upload)(
 	    void *ctx, jj_http_call_t *call, const char *data, size_t size);
 	/** The caller disconnected before its answer was complete. */
-	void (*on_gone)(void *ctx, jj_http_call_t *call);
+	void (*on_disconnect)(void *ctx, jj_http_call_t *call);
 	/** A full stream buffer has free capacity again. NULL: ignored. */
 	void (*on_room)(void *ctx, jj_http_call_t *call);
 } jj_http_port_t;
@@ -79,7 +79,7 @@
 /** Stops the server; connections of open requests are closed. */
 void jj_http_server_destroy(jj_http_server_t *server);
 /** Number of requests whose answer is not yet complete. */
-uint32_t jj_http_server_open(const jj_http_server_t *server);
+uint32_t jj_http_server_open_count(const jj_http_server_t *server);
 
 const char *jj_http_call_method(const jj_http_call_t *call);
 const char *jj_http_call_path(const jj_http_call_t *call);
@@ -102,7 +102,8 @@
 void jj_http_call_answer(jj_http_call_t *call, const jj_http_answer_t *answer,
     const void *body, size_t size);
 /** Begins a streamed answer. */
-void jj_http_call_begin(jj_http_call_t *call, const jj_http_answer_t *answer);
+void
+jj_http_call_begin_stream(jj_http_call_t *call, const jj_http_answer_t *answer);
 /**
  * Appends bytes to the stream.
  * @param must buffer them even if the buffer is full (for the last piece).
@@ -112,19 +113,19 @@
 bool jj_http_call_write(
     jj_http_call_t *call, const void *data, size_t size, bool must);
 /** True if a write would succeed; if not, on_room is called later. */
-bool jj_http_call_has_room(jj_http_call_t *call);
+bool jj_http_call_is_writable(jj_http_call_t *call);
 /** True if the caller disconnected: further writes are discarded. */
-bool jj_http_call_is_gone(jj_http_call_t *call);
+bool jj_http_call_is_disconnected(jj_http_call_t *call);
 /**
  * Ends the stream and drops the port's reference. With @p broken the
  * connection is closed without the last chunk, so that the caller does not
  * take the answer for complete.
  */
-void jj_http_call_end(jj_http_call_t *call, bool broken);
+void jj_http_call_end_stream(jj_http_call_t *call, bool broken);
 /** Resumes an upload after on_upload consumed nothing. */
-void jj_http_call_continue(jj_http_call_t *call);
+void jj_http_call_resume_upload(jj_http_call_t *call);
 /** Adds a reference, for a user of the call besides the port. */
-void jj_http_call_hold(jj_http_call_t *call);
+void jj_http_call_retain(jj_http_call_t *call);
 void jj_http_call_release(jj_http_call_t *call);
 
 #endif
--- a/src/adapters/neighbours.c
+++ b/src/adapters/neighbours.c
@@ -83,7 +83,7 @@
 	GHashTable *connections; /**< by name; used by the thread only */
 	uint64_t uses; /**< counts uses of connections, for LRU eviction */
 	int receive_pause_ms;
-	jj_neighbours_take_t take;
+	jj_neighbours_receive_t take;
 	void *ctx;
 };
 
@@ -103,7 +103,7 @@
 
 jj_neighbours_t *
 jj_neighbours_create(const char *address, int receive_pause_ms,
-    jj_neighbours_take_t take, void *ctx)
+    jj_neighbours_receive_t take, void *ctx)
 {
 	jj_neighbours_t *neighbours = jj_alloc(sizeof(*neighbours));
 	char endpoint[JJ_NAME_MAX + 16];
@@ -201,7 +201,7 @@
 }
 
 void
-jj_neighbours_cut(
+jj_neighbours_set_partitioned(
     jj_neighbours_t *neighbours, const char *name, bool partitioned)
 {
 	(void)apr_thread_mutex_lock(neighbours->lock);
--- a/src/adapters/neighbours.h
+++ b/src/adapters/neighbours.h
@@ -13,7 +13,7 @@
 #include "core/message.h"
 
 /** Receives a decoded message; ownership passes to the callee. */
-typedef void (*jj_neighbours_take_t)(void *ctx, jj_message_t *message);
+typedef void (*jj_neighbours_receive_t)(void *ctx, jj_message_t *message);
 
 /** Monotonic counters for metrics. */
 typedef struct {
@@ -36,13 +36,13 @@
  * handles all that arrive meanwhile; 0: receive each message at once.
  */
 jj_neighbours_t *jj_neighbours_create(const char *address, int receive_pause_ms,
-    jj_neighbours_take_t take, void *ctx);
+    jj_neighbours_receive_t take, void *ctx);
 void jj_neighbours_destroy(jj_neighbours_t *neighbours);
 /** Sends to a VM at @p address; @p message is encoded before return. */
 void jj_neighbours_send(jj_neighbours_t *neighbours, const char *name,
     const char *address, const jj_message_t *message);
 /** Drops all messages to and from a VM, for failure tests. */
-void jj_neighbours_cut(
+void jj_neighbours_set_partitioned(
     jj_neighbours_t *neighbours, const char *name, bool partitioned);
 jj_neighbours_counts_t jj_neighbours_counts(jj_neighbours_t *neighbours);
 /** Writes the counts to the metrics, in total and by kind of message. */
--- a/src/adapters/platform.c
+++ b/src/adapters/platform.c
@@ -100,7 +100,7 @@
 	/* A whole answer may take long: it depends on its size and the link. */
 	request.timeout_ms = call->wait_ms + ANSWER_TIMEOUT_MS;
 	request.begin_ms = call->wait_ms + platform->timeout_ms;
-	request.silence_ms = platform->timeout_ms;
+	request.read_timeout_ms = platform->timeout_ms;
 	request.once = encoded->new_connection;
 	request.ctx = exchange;
 	request.on_data = on_data;
@@ -150,7 +150,7 @@
 		exchange->too_large = true;
 	else
 		jj_buffer_append(&exchange->answer, data, size);
-	return JJ_HTTP_TAKEN;
+	return JJ_HTTP_CONSUMED;
 }
 
 static void
--- a/src/daemon/gateway_events.c
+++ b/src/daemon/gateway_events.c
@@ -359,7 +359,7 @@
 
 	if (jj_stream_relay_take(node->relay, request, &call, &relayed) &&
 	    call != NULL)
-		jj_http_call_end(call, true);
+		jj_http_call_end_stream(call, true);
 }
 
 static void
--- a/src/daemon/gateway_front.c
+++ b/src/daemon/gateway_front.c
@@ -87,7 +87,7 @@
 		return;
 	/* A response that has begun can only be cut off, never completed. */
 	if (relayed)
-		jj_http_call_end(call, true);
+		jj_http_call_end_stream(call, true);
 	else
 		answer(node, call, status_of(given), given->retry_after_ms,
 		    "text/plain", NULL);
--- a/src/daemon/gateway_node.c
+++ b/src/daemon/gateway_node.c
@@ -76,7 +76,8 @@
 jj_gateway_node_is_idle(jj_gateway_node_t *node)
 {
 	return atomic_load(&node->idle) &&
-	    (node->callers == NULL || jj_http_server_open(node->callers) == 0);
+	    (node->callers == NULL ||
+		jj_http_server_open_count(node->callers) == 0);
 }
 
 void
@@ -112,7 +113,7 @@
 	if (node->callers != NULL)
 		jj_gauge_set(jj_metrics_gauge("jujube_open_requests",
 				 "Calls not answered yet.", NULL, NULL),
-		    jj_http_server_open(node->callers));
+		    jj_http_server_open_count(node->callers));
 	jj_gauge_set(jj_metrics_gauge("jujube_stalled_jobs",
 			 "Jobs of this VM without a step for 3 s.", NULL, NULL),
 	    atomic_load(&node->stalled_jobs));
--- a/src/daemon/health.c
+++ b/src/daemon/health.c
@@ -232,7 +232,7 @@
 		size = PROBE_ANSWER_MAX - probe->size;
 	memcpy(probe->answer + probe->size, data, size);
 	probe->size += size;
-	return JJ_HTTP_TAKEN;
+	return JJ_HTTP_CONSUMED;
 }
 
 static void
--- a/src/daemon/node.c
+++ b/src/daemon/node.c
@@ -67,7 +67,7 @@
 {
 	return atomic_load(&node->leaving) && atomic_load(&node->core_idle) &&
 	    atomic_load(&node->batch_idle) &&
-	    jj_http_server_open(node->callers) == 0;
+	    jj_http_server_open_count(node->callers) == 0;
 }
 
 void
--- a/src/daemon/node_finish.c
+++ b/src/daemon/node_finish.c
@@ -74,7 +74,7 @@
 		if (relayed) {
 			log_answer(&exchange, 200, "streamed", "run");
 			jj_trace_end(&exchange.span, false, jj_unix_now_ns());
-			jj_http_call_end(exchange.call, false);
+			jj_http_call_end_stream(exchange.call, false);
 		} else {
 			send_response(&exchange, false, response);
 		}
@@ -95,7 +95,7 @@
 	if (exchange.kind == JJ_EXCHANGE_CALLER) {
 		log_answer(&exchange, 499, "caller_gone", "unknown");
 		jj_trace_end(&exchange.span, true, jj_unix_now_ns());
-		jj_http_call_end(exchange.call, true);
+		jj_http_call_end_stream(exchange.call, true);
 	}
 	jj_exchange_clear(&exchange);
 }
@@ -124,7 +124,7 @@
 	size = snprintf(event, text.size + 64,
 	    "event: error\ndata: {\"error\":%s}\n\n", text.data);
 	(void)jj_http_call_write(exchange->call, event, (size_t)size, true);
-	jj_http_call_end(exchange->call, true);
+	jj_http_call_end_stream(exchange->call, true);
 	free(event);
 	jj_bytes_free(&text);
 }
--- a/src/daemon/node_metrics.c
+++ b/src/daemon/node_metrics.c
@@ -25,5 +25,5 @@
 	    jj_platform_calls(node->platform_bulk));
 	jj_gauge_set(jj_metrics_gauge("jujube_open_requests",
 			 "Requests of callers not answered yet.", NULL, NULL),
-	    jj_http_server_open(node->callers));
+	    jj_http_server_open_count(node->callers));
 }
--- a/src/daemon/node_operators.c
+++ b/src/daemon/node_operators.c
@@ -256,7 +256,8 @@
 	root = json_loadb(body->data, body->size, 0, NULL);
 	json_object_foreach(root, name, cut)
 	{
-		jj_neighbours_cut(node->neighbours, name, json_is_true(cut));
+		jj_neighbours_set_partitioned(
+		    node->neighbours, name, json_is_true(cut));
 	}
 	json_decref(root);
 	jj_answer_json(call, 200, &answer, 0);
--- a/src/daemon/node_orders.c
+++ b/src/daemon/node_orders.c
@@ -54,7 +54,7 @@
 	(void)ctx;
 	(void)data;
 	(void)size;
-	return JJ_HTTP_TAKEN;
+	return JJ_HTTP_CONSUMED;
 }
 
 static void
--- a/src/daemon/node_results.c
+++ b/src/daemon/node_results.c
@@ -118,21 +118,21 @@
 
 	if (!reader->begun) {
 		reader->begun = true;
-		jj_http_call_begin(reader->call, &answer);
+		jj_http_call_begin_stream(reader->call, &answer);
 	}
 	reader->chunk++;
 	reader->retries = 0;
 	if (body->size > 0)
 		(void)jj_http_call_write(
 		    reader->call, body->data, body->size, true);
-	if (jj_http_call_is_gone(reader->call)) {
+	if (jj_http_call_is_disconnected(reader->call)) {
 		end_reader(node, reader, true);
 		return;
 	}
 	/* Under the lock, as on_room may run on another thread meanwhile. */
 	(void)apr_thread_mutex_lock(node->results_lock);
 	reader->waiting = true;
-	writable = jj_http_call_has_room(reader->call);
+	writable = jj_http_call_is_writable(reader->call);
 	if (writable)
 		reader->waiting = false;
 	(void)apr_thread_mutex_unlock(node->results_lock);
@@ -146,10 +146,10 @@
 	jj_http_call_t *call = reader->call;
 
 	free_reader(node, reader);
-	jj_http_call_end(call, broken);
+	jj_http_call_end_stream(call, broken);
 }
 
-/** Locks, as on_gone or on_room may run on another thread meanwhile. */
+/** Locks, as on_disconnect or on_room may run on another thread meanwhile. */
 static void
 free_reader(jj_node_t *node, reader_t *reader)
 {
--- a/src/daemon/node_uploads.c
+++ b/src/daemon/node_uploads.c
@@ -98,7 +98,7 @@
 	upload->answered = true;
 	(void)apr_thread_mutex_unlock(upload->lock);
 	if (!answered) {
-		jj_http_call_end(call, true);
+		jj_http_call_end_stream(call, true);
 		remove_upload(node, upload);
 	}
 	release_upload(upload);
@@ -120,7 +120,7 @@
 	if (!upload->answered && !upload->complete &&
 	    (jj_intake_accepts_input(upload->intake) ||
 		jj_intake_state(upload->intake) != JJ_INTAKE_OPEN))
-		jj_http_call_continue(upload->call);
+		jj_http_call_resume_upload(upload->call);
 	(void)apr_thread_mutex_unlock(upload->lock);
 	execute_actions(node, &actions);
 	answer_if_ended(node, upload);
--- a/src/daemon/relay.c
+++ b/src/daemon/relay.c
@@ -434,7 +434,7 @@
 on_data(void *ctx, const char *data, size_t size)
 {
 	attempt_t *attempt = ctx;
-	jj_http_flow_t flow = JJ_HTTP_TAKEN;
+	jj_http_flow_t flow = JJ_HTTP_CONSUMED;
 	shard_t *shard;
 	entry_t *entry = lock_entry(attempt->relay, attempt->request, &shard);
 
@@ -449,7 +449,7 @@
 			receive_body(attempt, data, size);
 	}
 	(void)apr_thread_mutex_unlock(shard->lock);
-	if (flow == JJ_HTTP_TAKEN)
+	if (flow == JJ_HTTP_CONSUMED)
 		report_progress(attempt);
 	return flow;
 }
@@ -462,7 +462,7 @@
 		return JJ_HTTP_PAUSE;
 	jj_sse_feed(&attempt->sse, data, size);
 	(void)forward_events(attempt, entry, false);
-	return JJ_HTTP_TAKEN;
+	return JJ_HTTP_CONSUMED;
 }
 
 /**
@@ -499,7 +499,7 @@
 	    NULL, 0};
 
 	entry->begun = true;
-	jj_http_call_begin(entry->exchange.call, &answer);
+	jj_http_call_begin_stream(entry->exchange.call, &answer);
 }
 
 static void
@@ -694,7 +694,7 @@
 	(void)ctx;
 	(void)data;
 	(void)size;
-	return JJ_HTTP_TAKEN;
+	return JJ_HTTP_CONSUMED;
 }
 
 static void
--- a/src/daemon/stream_relay.c
+++ b/src/daemon/stream_relay.c
@@ -216,7 +216,7 @@
 	http.path = entry->exchange.uri;
 	http.more_headers = entry->exchange.headers;
 	http.more_header_count = entry->exchange.header_count;
-	http.verbatim = true;
+	http.no_default_headers = true;
 	http.body = entry->exchange.body.data;
 	http.body_size = entry->exchange.body.size;
 	http.timeout_ms = start->budget_ms + DEADLINE_GRACE_MS;
@@ -411,7 +411,7 @@
 {
 	attempt_t *attempt = ctx;
 	jj_stream_relay_t *relay = attempt->relay;
-	jj_http_flow_t flow = JJ_HTTP_TAKEN;
+	jj_http_flow_t flow = JJ_HTTP_CONSUMED;
 	entry_t *entry;
 
 	(void)apr_thread_mutex_lock(relay->lock);
@@ -421,7 +421,7 @@
 			receive_body(attempt, data, size);
 		else if (attempt->kind == ANSWER_STREAM &&
 		    entry->exchange.call != NULL &&
-		    !jj_http_call_has_room(entry->exchange.call))
+		    !jj_http_call_is_writable(entry->exchange.call))
 			flow = JJ_HTTP_PAUSE;
 		else if (attempt->kind == ANSWER_STREAM)
 			receive_events(attempt, entry, data, size);
@@ -429,7 +429,7 @@
 			jj_http_client_cancel(relay->client, entry->transfer);
 	}
 	(void)apr_thread_mutex_unlock(relay->lock);
-	if (flow == JJ_HTTP_TAKEN && attempt->kind == ANSWER_STREAM)
+	if (flow == JJ_HTTP_CONSUMED && attempt->kind == ANSWER_STREAM)
 		report_progress(attempt);
 	return flow;
 }
@@ -482,7 +482,7 @@
 	jj_http_answer_t answer = make_answer(attempt, fields);
 
 	entry->begun = true;
-	jj_http_call_begin(entry->exchange.call, &answer);
+	jj_http_call_begin_stream(entry->exchange.call, &answer);
 	free_fields(fields);
 }
 
@@ -588,7 +588,7 @@
 	} else {
 		if (!entry->begun)
 			begin_answer(attempt, entry);
-		jj_http_call_end(entry->exchange.call, false);
+		jj_http_call_end_stream(entry->exchange.call, false);
 		entry->exchange.call = NULL;
 	}
 	(void)g_hash_table_remove(attempt->relay->table, &request);
--- a/tests/adapters/health_test.cc
+++ b/tests/adapters/health_test.cc
@@ -23,7 +23,8 @@
 class HealthWatch : public ::testing::Test
 {
       protected:
-	std::unique_ptr<Mute> server = std::make_unique<Mute>();
+	std::unique_ptr<UnresponsiveServer> server =
+	    std::make_unique<UnresponsiveServer>();
 	std::string address = server->address;
 	jj_health_port_t port = {this, on_health, on_report, on_release};
 	jj_health_watch_t *watch = jj_health_watch_create(&port);
--- a/tests/adapters/http_client_test.cc
+++ b/tests/adapters/http_client_test.cc
@@ -87,7 +87,7 @@
 		if (!self->paused)
 			self->data.append(bytes, size);
 		self->changed.notify_all();
-		return self->paused ? JJ_HTTP_PAUSE : JJ_HTTP_TAKEN;
+		return self->paused ? JJ_HTTP_PAUSE : JJ_HTTP_CONSUMED;
 	}
 	static void
 	on_end(void *ctx, jj_http_end_t how, const jj_http_head_t *)
@@ -151,7 +151,7 @@
 	};
 
 	for (const auto &one : cases) {
-		Mute server;
+		UnresponsiveServer server;
 		Outcome outcome;
 
 		(void)start(outcome,
@@ -176,8 +176,8 @@
 TEST_F(HttpClient, AStreamGoesOnBesideRequestsThatWait)
 {
 	constexpr int WAITING = 40;
-	Mute unresponsive;
-	Mute server;
+	UnresponsiveServer unresponsive;
+	UnresponsiveServer server;
 	Outcome stream;
 	std::vector<std::unique_ptr<Outcome>> others;
 
@@ -206,7 +206,7 @@
 /* For slow readers: data that was not consumed is delivered again. */
 TEST_F(HttpClient, WhatWasNotTakenComesAfterAResume)
 {
-	Mute server;
+	UnresponsiveServer server;
 	Outcome outcome;
 	uint64_t number;
 
@@ -225,7 +225,7 @@
 
 TEST_F(HttpClient, ACancelledRequestClosesItsConnection)
 {
-	Mute server;
+	UnresponsiveServer server;
 	Outcome outcome;
 	uint64_t number = start(outcome, server.address);
 
--- a/tests/adapters/http_server_test.cc
+++ b/tests/adapters/http_server_test.cc
@@ -32,10 +32,10 @@
 	}},
     {"streamed",
 	[](jj_http_call_t *call) {
-		jj_http_call_begin(call, &answer);
+		jj_http_call_begin_stream(call, &answer);
 		EXPECT_TRUE(jj_http_call_write(call, "late", 4, false));
-		EXPECT_TRUE(jj_http_call_has_room(call));
-		jj_http_call_end(call, false);
+		EXPECT_TRUE(jj_http_call_is_writable(call));
+		jj_http_call_end_stream(call, false);
 	}},
     {"only_released", [](jj_http_call_t *call) { jj_http_call_release(call); }},
 };
@@ -70,9 +70,9 @@
 	ASSERT_NE(nullptr, server);
 	int fd = send_request(address);
 	jj_http_call_t *call = begun.get_future().get();
-	EXPECT_FALSE(jj_http_call_is_gone(call));
+	EXPECT_FALSE(jj_http_call_is_disconnected(call));
 	jj_http_server_destroy(server);
-	EXPECT_TRUE(jj_http_call_is_gone(call));
+	EXPECT_TRUE(jj_http_call_is_disconnected(call));
 	GetParam().finish(call);
 	(void)close(fd);
 }
--- a/tests/adapters/loopback.h
+++ b/tests/adapters/loopback.h
@@ -79,12 +79,12 @@
 }
 
 /** Accepts connections on loopback and sends nothing by itself. */
-class Mute
+class UnresponsiveServer
 {
       public:
 	std::string address;
 
-	Mute()
+	UnresponsiveServer()
 	{
 		sockaddr_in bound = {};
 		socklen_t size = sizeof(bound);
@@ -101,7 +101,7 @@
 			&size));
 		address = "127.0.0.1:" + std::to_string(ntohs(bound.sin_port));
 	}
-	~Mute()
+	~UnresponsiveServer()
 	{
 		for (int fd : accepted)
 			(void)close(fd);
--- a/tests/adapters/neighbours_test.cc
+++ b/tests/adapters/neighbours_test.cc
@@ -34,7 +34,7 @@
 TEST(Neighbours, AConnectionWithoutAnAnswerIsOpenedAnew)
 {
 	constexpr int LIMIT_MS = 10000;
-	Mute mute;
+	UnresponsiveServer mute;
 	jj_message_t message = {};
 	jj_neighbours_t *neighbours;
 
--- a/tests/adapters/platform_test.cc
+++ b/tests/adapters/platform_test.cc
@@ -65,7 +65,7 @@
 {
       protected:
 	static constexpr int PIECES = 8;
-	Mute server;
+	UnresponsiveServer server;
 	Result result;
 	jj_platform_t *platform =
 	    jj_platform_create(&jj_platform_own_wire, server.address.c_str(),
--- a/tests/adapters/relay_test.cc
+++ b/tests/adapters/relay_test.cc
@@ -152,7 +152,7 @@
 			{nullptr, nullptr}},
 		    nullptr, 0};
 
-		jj_http_call_begin(run, &answer);
+		jj_http_call_begin_stream(run, &answer);
 	}
 	static void
 	write_token(jj_http_call_t *run, const char *word)
@@ -203,12 +203,12 @@
 	bool relayed = false;
 	ASSERT_TRUE(jj_relay_take(relay, 1, &taken, &relayed));
 	EXPECT_TRUE(relayed);
-	jj_http_call_end(taken.call, true);
+	jj_http_call_end_stream(taken.call, true);
 	jj_exchange_clear(&taken);
 	std::string rest = read_to_end(caller);
 	EXPECT_EQ(std::string::npos, rest.find("0\r\n\r\n"))
 	    << "a cut-off stream must not look complete";
-	jj_http_call_end(runs[0], true);
+	jj_http_call_end_stream(runs[0], true);
 	(void)close(caller);
 }
 
@@ -224,7 +224,7 @@
 	begin_run(runs[0], "7");
 	write_token(runs[0], "first");
 	(void)read_until(caller, "first");
-	jj_http_call_end(runs[0], true);
+	jj_http_call_end_stream(runs[0], true);
 	wait_for([this] {
 		return !reported.empty() &&
 		    reported.back().kind == JJ_BACKEND_BROKEN;
@@ -241,9 +241,9 @@
 	jj_exchange_t taken;
 	bool relayed = false;
 	ASSERT_TRUE(jj_relay_take(relay, 1, &taken, &relayed));
-	jj_http_call_end(taken.call, true);
+	jj_http_call_end_stream(taken.call, true);
 	jj_exchange_clear(&taken);
-	jj_http_call_end(runs[1], true);
+	jj_http_call_end_stream(runs[1], true);
 	(void)close(caller);
 }
 
--- a/tests/adapters/stream_relay_test.cc
+++ b/tests/adapters/stream_relay_test.cc
@@ -36,7 +36,7 @@
 	std::condition_variable changed;
 	jj_http_call_t *caller = nullptr;
 	int ended = -1; /**< how the attempt ended */
-	Mute server;
+	UnresponsiveServer server;
 	std::string front_address = free_address();
 	jj_deployment_t deployment = {};
 	jj_http_server_t *front;
