--- a/src/adapters/platform.h
+++ b/src/adapters/platform.h
@@ -53,7 +53,7 @@
 jj_platform_outcome_t jj_platform_classify_status(int status, int conflict);
 
 /** Codec of the API in docs/interfaces/PLATFORM.md. */
-extern const jj_platform_codec_t jj_platform_own_wire;
+extern const jj_platform_codec_t jj_platform_native_codec;
 
 typedef struct jj_platform jj_platform_t;
 
--- a/src/adapters/platform_wire.c
+++ b/src/adapters/platform_wire.c
@@ -24,7 +24,7 @@
 static void read_item(jj_platform_item_t *, const json_t *);
 static uint64_t version_of(const char *);
 
-const jj_platform_codec_t jj_platform_own_wire = {write_call, read_answer};
+const jj_platform_codec_t jj_platform_native_codec = {write_call, read_answer};
 
 static void
 write_call(const char *client_name, const jj_platform_call_t *call,
--- a/src/daemon/node.c
+++ b/src/daemon/node.c
@@ -204,10 +204,10 @@
 	node->relay = jj_relay_create(settings->shards, &relay);
 	node->health = jj_health_watch_create(&health);
 	node->order_client = jj_http_client_create();
-	node->platform_control = jj_platform_create(&jj_platform_own_wire,
+	node->platform_control = jj_platform_create(&jj_platform_native_codec,
 	    settings->platform.address, settings->platform.client.text,
 	    settings->platform.timeout_ms, take_control_result, node);
-	node->platform_bulk = jj_platform_create(&jj_platform_own_wire,
+	node->platform_bulk = jj_platform_create(&jj_platform_native_codec,
 	    settings->platform.address, settings->platform.client.text,
 	    settings->platform.timeout_ms, take_bulk_result, node);
 	node->neighbours = jj_neighbours_create(
--- a/tests/adapters/platform_test.cc
+++ b/tests/adapters/platform_test.cc
@@ -67,9 +67,9 @@
 	static constexpr int PIECES = 8;
 	UnresponsiveServer server;
 	Result result;
-	jj_platform_t *platform =
-	    jj_platform_create(&jj_platform_own_wire, server.address.c_str(),
-		"verona-1", TIMEOUT_MS, Result::take, &result);
+	jj_platform_t *platform = jj_platform_create(&jj_platform_native_codec,
+	    server.address.c_str(), "verona-1", TIMEOUT_MS, Result::take,
+	    &result);
 
 	~PlatformPace() override
 	{
--- a/tests/fuzz/platform.c
+++ b/tests/fuzz/platform.c
@@ -23,7 +23,7 @@
 	for (i = 0; i < sizeof(ops) / sizeof(ops[0]); i++) {
 		jj_platform_result_t result = {.op = ops[i]};
 
-		jj_platform_objects_wire.read(
+		jj_platform_objects_codec.read(
 		    &result, "servers/", &head, (const char *)data, size);
 		for (k = 0; k < result.item_count; k++)
 			check_item(&result.items[k]);
--- a/tests/platform/entries_test.cc
+++ b/tests/platform/entries_test.cc
@@ -183,7 +183,7 @@
 		result = {};
 		result.op = op;
 		head.status = 200;
-		jj_platform_objects_wire.read(
+		jj_platform_objects_codec.read(
 		    &result, "servers/", &head, body.data(), body.size());
 	}
 	/** Expects three entries, the middle one without a value. */
--- a/tests/platform/front_test.cc
+++ b/tests/platform/front_test.cc
@@ -163,7 +163,7 @@
 	for (jj_platform_op_t op : {JJ_PLATFORM_WATCH, JJ_PLATFORM_LIST}) {
 		Outcome outcome;
 		jj_platform_t *platform = jj_platform_create(
-		    &jj_platform_objects_wire, address.c_str(), "verona-1",
+		    &jj_platform_objects_codec, address.c_str(), "verona-1",
 		    10000, Outcome::take, &outcome);
 		jj_platform_call_t call = {};
 
--- a/tests/platform/objects_test.cc
+++ b/tests/platform/objects_test.cc
@@ -39,7 +39,7 @@
 	call.version = GetParam().version;
 	call.wait_ms = 20000;
 	call.value = jj_bytes_from_text(GetParam().value);
-	jj_platform_objects_wire.write("verona-1", &call, &request);
+	jj_platform_objects_codec.write("verona-1", &call, &request);
 	EXPECT_STREQ(GetParam().method, request.method);
 	EXPECT_STREQ(GetParam().path, request.path);
 	EXPECT_EQ(std::string(GetParam().body),
@@ -95,7 +95,7 @@
 
 	result.op = GetParam().op;
 	head.status = GetParam().status;
-	jj_platform_objects_wire.read(&result, "servers/", &head,
+	jj_platform_objects_codec.read(&result, "servers/", &head,
 	    GetParam().body, strlen(GetParam().body));
 	EXPECT_EQ(GetParam().outcome, result.outcome);
 	EXPECT_EQ(GetParam().version, result.version);
@@ -168,7 +168,7 @@
 
 	result.op = GetParam().op;
 	head.status = 200;
-	jj_platform_objects_wire.read(
+	jj_platform_objects_codec.read(
 	    &result, "config/", &head, body.data(), body.size());
 	EXPECT_EQ(JJ_PLATFORM_OK, result.outcome);
 	EXPECT_EQ(530U, result.version);
