--- a/bench/slopes/world.c
+++ b/bench/slopes/world.c
@@ -305,7 +305,7 @@
 {
 	const world_plan_t *plan = &world->plan;
 	vm_t *vm = &world->vms[number];
-	char error[JJ_SETTINGS_WHY_MAX];
+	char error[JJ_SETTINGS_ERROR_MAX];
 	char text[1024];
 	jj_settings_t settings;
 	uint32_t domain = 0;
--- a/examples/check_settings.c
+++ b/examples/check_settings.c
@@ -11,7 +11,7 @@
 int
 main(int argc, char **argv)
 {
-	char why[JJ_SETTINGS_WHY_MAX];
+	char why[JJ_SETTINGS_ERROR_MAX];
 	jj_settings_t settings;
 	int invalid_count = 0;
 	int i;
--- a/examples/drive_core.c
+++ b/examples/drive_core.c
@@ -65,7 +65,7 @@
 static jj_core_t *
 create_core(void)
 {
-	char why[JJ_SETTINGS_WHY_MAX];
+	char why[JJ_SETTINGS_ERROR_MAX];
 	jj_settings_t settings;
 	jj_core_t *core;
 
--- a/src/adapters/settings.h
+++ b/src/adapters/settings.h
@@ -19,7 +19,7 @@
 /** Longest path in the settings, bytes. */
 #define JJ_SETTINGS_PATH_MAX 255
 /** Buffer size that holds every message of jj_settings_load, bytes. */
-#define JJ_SETTINGS_WHY_MAX 512
+#define JJ_SETTINGS_ERROR_MAX 512
 
 /** A VM to contact at start; the platform's list names the others. */
 typedef struct {
--- a/src/ctl/ctl_settings.c
+++ b/src/ctl/ctl_settings.c
@@ -27,7 +27,7 @@
 static jj_ctl_exit_t
 check_settings(const jj_ctl_t *ctl, char **arguments)
 {
-	char why[JJ_SETTINGS_WHY_MAX];
+	char why[JJ_SETTINGS_ERROR_MAX];
 	jj_settings_t settings;
 	jj_bytes_t table;
 
--- a/src/daemon/main.c
+++ b/src/daemon/main.c
@@ -70,7 +70,7 @@
 	GOptionContext *context =
 	    g_option_context_new("- daemon of an entry VM");
 	jj_settings_t settings;
-	char why[JJ_SETTINGS_WHY_MAX];
+	char why[JJ_SETTINGS_ERROR_MAX];
 	GError *error = NULL;
 	int status;
 
--- a/tests/adapters/settings_test.cc
+++ b/tests/adapters/settings_test.cc
@@ -24,7 +24,7 @@
 static bool
 parse(const std::string &text, jj_settings_t *settings, std::string *error_text)
 {
-	char buffer[JJ_SETTINGS_WHY_MAX] = "";
+	char buffer[JJ_SETTINGS_ERROR_MAX] = "";
 	bool valid = jj_settings_parse(settings, text.data(), text.size(),
 	    "t.toml", buffer, sizeof(buffer));
 
@@ -172,7 +172,7 @@
 
 TEST(Settings, MissingFileIsReported)
 {
-	char error_text[JJ_SETTINGS_WHY_MAX];
+	char error_text[JJ_SETTINGS_ERROR_MAX];
 	jj_settings_t settings;
 
 	EXPECT_FALSE(jj_settings_load(
@@ -188,7 +188,7 @@
 
 		for (const auto &entry :
 		    std::filesystem::directory_iterator(folder)) {
-			char error_text[JJ_SETTINGS_WHY_MAX] = "";
+			char error_text[JJ_SETTINGS_ERROR_MAX] = "";
 			jj_settings_t settings;
 
 			count++;
@@ -242,7 +242,7 @@
 	};
 
 	for (const auto &row : cases) {
-		char error_text[JJ_SETTINGS_WHY_MAX] = "";
+		char error_text[JJ_SETTINGS_ERROR_MAX] = "";
 		jj_toml_t *toml = jj_toml_parse(row.text.data(),
 		    row.text.size(), "t.toml", error_text, sizeof(error_text));
 
@@ -275,7 +275,7 @@
 	};
 
 	for (const auto &row : cases) {
-		char error_text[JJ_SETTINGS_WHY_MAX] = "";
+		char error_text[JJ_SETTINGS_ERROR_MAX] = "";
 
 		EXPECT_EQ(nullptr,
 		    jj_toml_parse(row.text, strlen(row.text), "t.toml",
@@ -289,7 +289,7 @@
 TEST(Toml, DeepNestingIsAnErrorNotACrash)
 {
 	std::string text = "a = " + std::string(100000, '[');
-	char error_text[JJ_SETTINGS_WHY_MAX];
+	char error_text[JJ_SETTINGS_ERROR_MAX];
 
 	EXPECT_EQ(nullptr,
 	    jj_toml_parse(text.data(), text.size(), "t.toml", error_text,
--- a/tests/core/core_world.h
+++ b/tests/core/core_world.h
@@ -206,7 +206,7 @@
 	add(const std::string &domain, int v)
 	{
 		auto core = std::make_unique<WorldCore>();
-		char why[JJ_SETTINGS_WHY_MAX];
+		char why[JJ_SETTINGS_ERROR_MAX];
 
 		core->domain = domain;
 		core->name = domain + "-" + std::to_string(10 + v);
--- a/tests/fuzz/toml.c
+++ b/tests/fuzz/toml.c
@@ -10,7 +10,7 @@
 int
 LLVMFuzzerTestOneInput(const uint8_t *data, size_t size)
 {
-	char why[JJ_SETTINGS_WHY_MAX] = "";
+	char why[JJ_SETTINGS_ERROR_MAX] = "";
 	jj_settings_t settings;
 
 	if (jj_settings_parse(
