--- a/bench/slopes/world.c
+++ b/bench/slopes/world.c
@@ -358,13 +358,13 @@
 
 	for (i = 0; i < world->plan.servers; i++) {
 		fill_server(&server, &world->plan, i);
-		jj_core_learn_server(core, &server);
+		jj_core_add_server(core, &server);
 	}
 	/* The server of the plain service, for calls with idempotency keys. */
 	fill_server(&server, &world->plan, 0);
 	(void)jj_name_set(&server.name, "server-plain");
 	(void)jj_name_set(&server.service, "service-99");
-	jj_core_learn_server(core, &server);
+	jj_core_add_server(core, &server);
 }
 
 /** Servers after those of domain-00 are assigned to 22 others round-robin. */
--- a/bench/vms.c
+++ b/bench/vms.c
@@ -40,7 +40,7 @@
 
 			(void)jj_name_set(&domain, DOMAIN);
 			if (j != i)
-				jj_member_learn(world->vms[i].member,
+				jj_member_add_vm(world->vms[i].member,
 				    &world->vms[j].name, &domain, "");
 		}
 	}
@@ -341,7 +341,7 @@
 		server.name = world_server_name(i);
 		server.boot = world->engines[i].boot;
 		server.state = JJ_SERVER_UP;
-		jj_fleet_learn(vm->fleet, &server);
+		jj_fleet_add_server(vm->fleet, &server);
 	}
 }
 
--- a/examples/drive_core.c
+++ b/examples/drive_core.c
@@ -96,7 +96,7 @@
 	(void)jj_name_set(&server.service, "narrador");
 	(void)snprintf(
 	    server.address, sizeof(server.address), "127.0.0.1:9100");
-	jj_core_learn_server(core, &server);
+	jj_core_add_server(core, &server);
 }
 
 /** Sends ticks when the core needs them, and the request in between. */
--- a/include/jujubeswitch.h
+++ b/include/jujubeswitch.h
@@ -92,10 +92,10 @@
 /** Frees a core. */
 void jj_core_destroy(jj_core_t *core);
 /** Adds a VM that is listed in the settings. */
-void jj_core_learn_vm(jj_core_t *core, const jj_name_t *name,
+void jj_core_add_vm(jj_core_t *core, const jj_name_t *name,
     const jj_name_t *domain, const char *address);
 /** Adds a backend server that is listed in the settings. */
-void jj_core_learn_server(jj_core_t *core, const jj_server_t *server);
+void jj_core_add_server(jj_core_t *core, const jj_server_t *server);
 /** Handles one event; appends the resulting actions to @p out. */
 void jj_core_handle(
     jj_core_t *core, const jj_event_t *event, jj_ms_t now, jj_actions_t *out);
--- a/src/adapters/http_server.c
+++ b/src/adapters/http_server.c
@@ -62,7 +62,7 @@
 	bool disconnected; /**< by the caller, or as the server stops */
 	bool finished; /**< libmicrohttpd has completed the request */
 	bool broken;
-	bool report_writable; /**< a write was refused: on_room follows */
+	bool report_writable; /**< a write was refused: on_writable follows */
 	struct MHD_Response *response;
 	int status;
 	char *buffer;
@@ -624,8 +624,8 @@
 		MHD_suspend_connection(call->connection);
 	}
 	(void)apr_thread_mutex_unlock(call->lock);
-	if (writable && port->on_room != NULL)
-		port->on_room(port->ctx, call);
+	if (writable && port->on_writable != NULL)
+		port->on_writable(port->ctx, call);
 	return result;
 }
 
--- a/src/adapters/http_server.h
+++ b/src/adapters/http_server.h
@@ -57,7 +57,7 @@
 	/** The caller disconnected before its answer was complete. */
 	void (*on_disconnect)(void *ctx, jj_http_call_t *call);
 	/** A full stream buffer has free capacity again. NULL: ignored. */
-	void (*on_room)(void *ctx, jj_http_call_t *call);
+	void (*on_writable)(void *ctx, jj_http_call_t *call);
 } jj_http_port_t;
 
 /** Limits of a server; the settings explain the reason for each. */
@@ -107,12 +107,12 @@
 /**
  * Appends bytes to the stream.
  * @param must buffer them even if the buffer is full (for the last piece).
- * @return false if the buffer is full: nothing was buffered, and on_room is
+ * @return false if the buffer is full: nothing was buffered, and on_writable is
  * called when there is free capacity.
  */
 bool jj_http_call_write(
     jj_http_call_t *call, const void *data, size_t size, bool must);
-/** True if a write would succeed; if not, on_room is called later. */
+/** True if a write would succeed; if not, on_writable is called later. */
 bool jj_http_call_is_writable(jj_http_call_t *call);
 /** True if the caller disconnected: further writes are discarded. */
 bool jj_http_call_is_disconnected(jj_http_call_t *call);
--- a/src/core/core.c
+++ b/src/core/core.c
@@ -102,16 +102,16 @@
 }
 
 void
-jj_core_learn_vm(jj_core_t *core, const jj_name_t *name,
-    const jj_name_t *domain, const char *address)
+jj_core_add_vm(jj_core_t *core, const jj_name_t *name, const jj_name_t *domain,
+    const char *address)
 {
-	jj_member_learn(core->member, name, domain, address);
+	jj_member_add_vm(core->member, name, domain, address);
 }
 
 void
-jj_core_learn_server(jj_core_t *core, const jj_server_t *server)
+jj_core_add_server(jj_core_t *core, const jj_server_t *server)
 {
-	jj_fleet_learn(core->fleet, server);
+	jj_fleet_add_server(core->fleet, server);
 }
 
 void
@@ -137,7 +137,7 @@
 	case JJ_EVENT_BACKEND:
 		jj_core_take_backend(core, event, now, out);
 		break;
-	case JJ_EVENT_CALLER_GONE:
+	case JJ_EVENT_CALLER_DISCONNECTED:
 		jj_core_cancel_request(
 		    core, event->body.disconnected_request, now, out);
 		break;
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -52,7 +52,7 @@
 	JJ_EVENT_PLATFORM, /**< the result of a platform call of this core */
 	JJ_EVENT_REQUEST, /**< from a caller, or a batch item */
 	JJ_EVENT_BACKEND, /**< progress of a request at a backend server */
-	JJ_EVENT_CALLER_GONE, /**< the caller of a request has disconnected */
+	JJ_EVENT_CALLER_DISCONNECTED, /**< the caller of a request has disconnected */
 	JJ_EVENT_CRASH, /**< the process of a backend server crashed */
 	JJ_EVENT_SERVER, /**< a backend server reported its state */
 	JJ_EVENT_REPORT, /**< a backend server's load report */
@@ -121,9 +121,9 @@
 jj_core_t *jj_core_create(const jj_core_settings_t *settings);
 void jj_core_destroy(jj_core_t *core);
 /** Adds a VM or server from the settings. */
-void jj_core_learn_vm(jj_core_t *core, const jj_name_t *name,
+void jj_core_add_vm(jj_core_t *core, const jj_name_t *name,
     const jj_name_t *domain, const char *address);
-void jj_core_learn_server(jj_core_t *core, const jj_server_t *server);
+void jj_core_add_server(jj_core_t *core, const jj_server_t *server);
 /** Handles one event; appends the resulting actions. */
 void jj_core_handle(
     jj_core_t *core, const jj_event_t *event, jj_ms_t now, jj_actions_t *out);
--- a/src/core/core_updates.c
+++ b/src/core/core_updates.c
@@ -345,7 +345,7 @@
 {
 	jj_core_t *core = ctx;
 
-	jj_member_learn(core->member, name, domain, address);
+	jj_member_add_vm(core->member, name, domain, address);
 }
 
 /**
--- a/src/core/fleet.c
+++ b/src/core/fleet.c
@@ -104,7 +104,7 @@
 }
 
 void
-jj_fleet_learn(jj_fleet_t *fleet, const jj_server_t *server)
+jj_fleet_add_server(jj_fleet_t *fleet, const jj_server_t *server)
 {
 	entry_t *entry = find_entry(fleet, &server->name);
 
--- a/src/core/fleet.h
+++ b/src/core/fleet.h
@@ -38,7 +38,7 @@
 void jj_fleet_destroy(jj_fleet_t *fleet);
 
 /** Adds a server from the settings. */
-void jj_fleet_learn(jj_fleet_t *fleet, const jj_server_t *server);
+void jj_fleet_add_server(jj_fleet_t *fleet, const jj_server_t *server);
 /**
  * Reads the platform's VM list (JSON of GET /v1/vms): servers go into the
  * fleet, entry VMs to the callback.
--- a/src/core/gateway.c
+++ b/src/core/gateway.c
@@ -271,7 +271,7 @@
 jj_gateway_learn_vm(jj_gateway_t *gateway, const jj_name_t *name,
     const jj_name_t *domain, const char *address)
 {
-	jj_member_learn(gateway->member, name, domain, address);
+	jj_member_add_vm(gateway->member, name, domain, address);
 }
 
 const char *
--- a/src/core/gateway_vms.c
+++ b/src/core/gateway_vms.c
@@ -305,7 +305,7 @@
 	}
 	(void)jj_name_set(&group, region);
 	(void)jj_name_set(&zone, domain);
-	jj_member_learn(gateway->member, &name, &group, address);
+	jj_member_add_vm(gateway->member, &name, &group, address);
 	note_vm(gateway, &name, &zone, item->version);
 }
 
--- a/src/core/member.c
+++ b/src/core/member.c
@@ -68,7 +68,7 @@
 }
 
 void
-jj_member_learn(jj_member_t *member, const jj_name_t *name,
+jj_member_add_vm(jj_member_t *member, const jj_name_t *name,
     const jj_name_t *domain, const char *address)
 {
 	jj_peer_t *peer;
@@ -460,8 +460,8 @@
 static jj_peer_t *
 learn_sender(jj_member_t *member, const jj_message_t *message)
 {
-	jj_member_learn(member, &message->from, &message->body.heartbeat.domain,
-	    message->body.heartbeat.address);
+	jj_member_add_vm(member, &message->from,
+	    &message->body.heartbeat.domain, message->body.heartbeat.address);
 	return find_peer(member, &message->from);
 }
 
--- a/src/core/member.h
+++ b/src/core/member.h
@@ -76,7 +76,7 @@
 void jj_member_destroy(jj_member_t *member);
 
 /** Adds or updates a VM from settings or the platform's list (a hint only). */
-void jj_member_learn(jj_member_t *member, const jj_name_t *name,
+void jj_member_add_vm(jj_member_t *member, const jj_name_t *name,
     const jj_name_t *domain, const char *address);
 /**
  * Checks a message's sender, handles heartbeats and probes.
--- a/src/daemon/gateway_events.c
+++ b/src/daemon/gateway_events.c
@@ -70,7 +70,7 @@
 }
 
 void
-jj_gateway_post_caller_gone(jj_gateway_node_t *node, uint64_t request)
+jj_gateway_post_caller_disconnect(jj_gateway_node_t *node, uint64_t request)
 {
 	event_t *event = create_event(EVENT_CALLER_GONE);
 
--- a/src/daemon/gateway_front.c
+++ b/src/daemon/gateway_front.c
@@ -27,7 +27,7 @@
 } header_copy_t;
 
 static void on_request(void *, jj_http_call_t *);
-static void on_caller_gone(void *, jj_http_call_t *);
+static void on_caller_disconnect(void *, jj_http_call_t *);
 static void on_writable(void *, jj_http_call_t *);
 static void on_ready(void *, jj_http_call_t *);
 static void on_operator(void *, jj_http_call_t *);
@@ -54,7 +54,7 @@
 	    settings->callers.body_bytes, settings->callers.stream_bytes,
 	    settings->callers.idle_ms};
 	jj_http_port_t callers = {
-	    node, on_request, NULL, NULL, on_caller_gone, on_writable};
+	    node, on_request, NULL, NULL, on_caller_disconnect, on_writable};
 	jj_http_port_t ready = {node, on_ready, NULL, NULL, NULL, NULL};
 	jj_http_port_t operators = {node, on_operator, NULL, NULL, NULL, NULL};
 
@@ -188,7 +188,7 @@
 }
 
 static void
-on_caller_gone(void *ctx, jj_http_call_t *call)
+on_caller_disconnect(void *ctx, jj_http_call_t *call)
 {
 	jj_gateway_node_t *node = ctx;
 	uint64_t number = (uint64_t)(uintptr_t)jj_http_call_context(call);
@@ -196,7 +196,7 @@
 	if (number == 0)
 		return;
 	if ((number & CONTEXT_OPERATION) == 0)
-		jj_gateway_post_caller_gone(node, number);
+		jj_gateway_post_caller_disconnect(node, number);
 	else
 		jj_gateway_post_abandon(node, number & ~CONTEXT_OPERATION);
 }
--- a/src/daemon/gateway_node.h
+++ b/src/daemon/gateway_node.h
@@ -74,7 +74,8 @@
 /** @param request its strings are copied. */
 void jj_gateway_post_request(
     jj_gateway_node_t *node, const jj_gateway_request_t *request);
-void jj_gateway_post_caller_gone(jj_gateway_node_t *node, uint64_t request);
+void
+jj_gateway_post_caller_disconnect(jj_gateway_node_t *node, uint64_t request);
 void jj_gateway_post_backend(
     void *node, const jj_backend_event_t *event, int status, jj_bytes_t *text);
 void jj_gateway_post_message(void *node, jj_message_t *message);
--- a/src/daemon/node.c
+++ b/src/daemon/node.c
@@ -158,7 +158,7 @@
 	size_t i;
 
 	for (i = 0; i < settings->neighbour_count; i++)
-		jj_core_learn_vm(node->core, &settings->neighbours[i].name,
+		jj_core_add_vm(node->core, &settings->neighbours[i].name,
 		    &settings->neighbours[i].domain,
 		    settings->neighbours[i].address);
 	for (i = 0; i < settings->server_count; i++) {
@@ -169,7 +169,7 @@
 		memcpy(server.address, settings->servers[i].address,
 		    sizeof(server.address));
 		server.checks_fence = settings->servers[i].checks_fence;
-		jj_core_learn_server(node->core, &server);
+		jj_core_add_server(node->core, &server);
 	}
 }
 
--- a/src/daemon/node.h
+++ b/src/daemon/node.h
@@ -121,7 +121,7 @@
     const char *key, const char *path, const jj_bytes_t *body,
     const char *trace);
 /** The caller of a request disconnected, or a batch item was cancelled. */
-void jj_node_post_caller_gone(jj_node_t *node, uint64_t request);
+void jj_node_post_caller_disconnect(jj_node_t *node, uint64_t request);
 void jj_node_post_message(jj_node_t *node, jj_message_t *message);
 void jj_node_post_platform(jj_node_t *node, jj_platform_result_t *result);
 void jj_node_post_backend(jj_node_t *node, const jj_backend_event_t *event,
--- a/src/daemon/node_batch.c
+++ b/src/daemon/node_batch.c
@@ -338,7 +338,7 @@
 			begin_item(node, action);
 			break;
 		case JJ_ACTION_ITEM_CANCEL:
-			jj_node_post_caller_gone(
+			jj_node_post_caller_disconnect(
 			    node, action->body.item.item | JJ_REQUEST_ITEM);
 			break;
 		case JJ_ACTION_JOB_ANSWER:
--- a/src/daemon/node_callers.c
+++ b/src/daemon/node_callers.c
@@ -24,7 +24,7 @@
 
 static void on_request(void *, jj_http_call_t *);
 static bool is_upload(void *, const jj_http_call_t *);
-static void on_caller_gone(void *, jj_http_call_t *);
+static void on_caller_disconnect(void *, jj_http_call_t *);
 static void on_writable(void *, jj_http_call_t *);
 static void serve_model(jj_node_t *, jj_http_call_t *);
 static void serve_service(jj_node_t *, jj_http_call_t *);
@@ -49,7 +49,7 @@
 	    settings->callers.body_bytes, settings->callers.stream_bytes,
 	    settings->callers.idle_ms};
 	jj_http_port_t port = {node, on_request, is_upload, jj_node_feed_upload,
-	    on_caller_gone, on_writable};
+	    on_caller_disconnect, on_writable};
 
 	node->callers = jj_http_server_create(&limits, &port);
 	return node->callers != NULL;
@@ -86,7 +86,7 @@
 }
 
 static void
-on_caller_gone(void *ctx, jj_http_call_t *call)
+on_caller_disconnect(void *ctx, jj_http_call_t *call)
 {
 	jj_node_t *node = ctx;
 
@@ -95,7 +95,7 @@
 	else if (jj_node_is_results_call(call))
 		jj_node_resume_results(node, call);
 	else if (jj_relay_request_of(call) != 0)
-		jj_node_post_caller_gone(node, jj_relay_request_of(call));
+		jj_node_post_caller_disconnect(node, jj_relay_request_of(call));
 }
 
 static void
--- a/src/daemon/node_control.c
+++ b/src/daemon/node_control.c
@@ -74,9 +74,9 @@
 }
 
 void
-jj_node_post_caller_gone(jj_node_t *node, uint64_t request)
+jj_node_post_caller_disconnect(jj_node_t *node, uint64_t request)
 {
-	event_task_t *task = create_task(JJ_EVENT_CALLER_GONE);
+	event_task_t *task = create_task(JJ_EVENT_CALLER_DISCONNECTED);
 
 	task->event.body.disconnected_request = request;
 	jj_loop_post(node->control, &task->task);
@@ -277,7 +277,7 @@
 		backend->kind == JJ_BACKEND_REJECTED))
 		jj_node_finish_response(node, backend->request,
 		    backend->kind == JJ_BACKEND_REJECTED, &task->response);
-	else if (task->event.kind == JJ_EVENT_CALLER_GONE)
+	else if (task->event.kind == JJ_EVENT_CALLER_DISCONNECTED)
 		after_caller_gone(node, task->event.body.disconnected_request);
 	else if (task->event.kind == JJ_EVENT_RELEASE)
 		jj_node_answer_pending(node, task->event.body.release.operation,
--- a/tests/core/core_world.h
+++ b/tests/core/core_world.h
@@ -260,14 +260,14 @@
 				continue;
 			jj_name_set(&name, other->name.c_str());
 			jj_name_set(&domain, other->domain.c_str());
-			jj_core_learn_vm(
+			jj_core_add_vm(
 			    core.core, &name, &domain, "127.0.0.1:3");
 		}
 		jj_name_set(&server.name, ("svc-" + core.domain).c_str());
 		jj_name_set(&server.domain, core.domain.c_str());
 		jj_name_set(&server.service, "pallets");
 		snprintf(server.address, sizeof(server.address), "127.0.0.1:9");
-		jj_core_learn_server(core.core, &server);
+		jj_core_add_server(core.core, &server);
 	}
 	WorldCore *
 	find(const char *name)
--- a/tests/core/dispatch_test.cc
+++ b/tests/core/dispatch_test.cc
@@ -125,7 +125,7 @@
 		server.service = Name("s");
 		server.boot = 7;
 		server.state = JJ_SERVER_UP;
-		jj_fleet_learn(fleet, &server);
+		jj_fleet_add_server(fleet, &server);
 	}
 
 	void
@@ -218,8 +218,8 @@
 		jj_name_t b = Name("vm-b");
 		jj_name_t domain = Name("sala-a");
 
-		jj_member_learn(member_a, &b, &domain, "");
-		jj_member_learn(member_b, &a, &domain, "");
+		jj_member_add_vm(member_a, &b, &domain, "");
+		jj_member_add_vm(member_b, &a, &domain, "");
 		for (int i = 0; i < 6; i++, now += 500) {
 			jj_member_tick(member_a, now, &out);
 			Deliver(member_a, member_b, 2);
@@ -248,8 +248,8 @@
 			settings.incarnation = 10 + i;
 			jj_member_t *member = jj_member_create(&settings);
 			jj_member_set_state(member, JJ_VM_SERVING);
-			jj_member_learn(member_a, &settings.name, &domain, "");
-			jj_member_learn(member, &a, &domain, "");
+			jj_member_add_vm(member_a, &settings.name, &domain, "");
+			jj_member_add_vm(member, &a, &domain, "");
 			others[settings.name.text] = member;
 		}
 		for (int i = 0; i < 6; i++, now += 500) {
--- a/tests/core/fleet_test.cc
+++ b/tests/core/fleet_test.cc
@@ -150,7 +150,7 @@
 		jj_server_t server = {};
 
 		(void)jj_name_set(&server.name, row.label);
-		jj_fleet_learn(fleet, &server);
+		jj_fleet_add_server(fleet, &server);
 		(void)note(row.label, JJ_SERVER_UP, 7);
 		now += row.own_sign_fresh ? 100 : 60000;
 		notice(row.label, row.state, row.boot);
--- a/tests/core/member_test.cc
+++ b/tests/core/member_test.cc
@@ -61,7 +61,7 @@
 		jj_name_t vm = name(of);
 		jj_name_t domain = name(domains[of]);
 
-		jj_member_learn(vms[at], &vm, &domain, "127.0.0.1:1");
+		jj_member_add_vm(vms[at], &vm, &domain, "127.0.0.1:1");
 	}
 	void
 	run(jj_ms_t duration)
@@ -229,7 +229,7 @@
 	for (int i = 0; i < 330 + 2 * 270; i++) {
 		jj_name_t gone = name("a0-" + std::to_string(i));
 
-		jj_member_learn(net.vms["a1"], &gone, &domain, "127.0.0.1:1");
+		jj_member_add_vm(net.vms["a1"], &gone, &domain, "127.0.0.1:1");
 	}
 	net.start("a2", "sala-a", 102);
 	net.run(2000);
--- a/tests/core/orders_test.cc
+++ b/tests/core/orders_test.cc
@@ -50,7 +50,7 @@
 
 			server.name = name("s" + std::to_string(i));
 			server.checks_fence = checks_fence;
-			jj_fleet_learn(fleet, &server);
+			jj_fleet_add_server(fleet, &server);
 		}
 		orders = jj_orders_create(&settings, lease, fleet);
 		TAILQ_INIT(&out);
