--- a/src/adapters/http_client.c
+++ b/src/adapters/http_client.c
@@ -90,7 +90,7 @@
 
 static void *APR_THREAD_FUNC run(apr_thread_t *, void *);
 static bool set_up_multi(jj_http_client_t *);
-static int on_socket_change(CURL *, curl_socket_t, int, void *, void *);
+static int on_poll(CURL *, curl_socket_t, int, void *, void *);
 static int on_timer(CURLM *, long, void *);
 static void wait_for_events(jj_http_client_t *);
 static int wait_ms(const jj_http_client_t *);
@@ -227,7 +227,7 @@
 	(void)curl_multi_setopt(
 	    client->multi, CURLMOPT_MAXCONNECTS, IDLE_CONNECTIONS);
 	(void)curl_multi_setopt(
-	    client->multi, CURLMOPT_SOCKETFUNCTION, on_socket_change);
+	    client->multi, CURLMOPT_SOCKETFUNCTION, on_poll);
 	(void)curl_multi_setopt(client->multi, CURLMOPT_SOCKETDATA, client);
 	(void)curl_multi_setopt(
 	    client->multi, CURLMOPT_TIMERFUNCTION, on_timer);
@@ -239,8 +239,7 @@
 
 /** @param known not NULL if the socket is registered with epoll. */
 static int
-on_socket_change(
-    CURL *easy, curl_socket_t socket, int what, void *ctx, void *known)
+on_poll(CURL *easy, curl_socket_t socket, int what, void *ctx, void *known)
 {
 	jj_http_client_t *client = ctx;
 	struct epoll_event event = {0};
