--- a/src/adapters/deployment.h
+++ b/src/adapters/deployment.h
@@ -53,7 +53,7 @@
 	jj_front_headers_t headers;
 	bool (*read_routes)(const jj_bytes_t *object, jj_routes_t *routes,
 	    char *why, size_t why_size);
-	/** False, with the reason in @p why, for an entry that can't be used. */
+	/** False, with the reason in @p why, for an unusable entry. */
 	bool (*read_server)(const char *id, const jj_bytes_t *object,
 	    jj_slot_info_t *info, char *why, size_t why_size);
 	void (*read_call)(const jj_http_call_t *call, jj_front_call_t *read);
--- a/src/adapters/http_server.c
+++ b/src/adapters/http_server.c
@@ -488,8 +488,8 @@
 		jj_http_call_retain(call);
 	}
 	/*
-	 * Suspend before calling the port: jj_http_call_resume_upload may run on
-	 * another thread during the call. If it found the connection not
+	 * Suspend before calling the port: jj_http_call_resume_upload may run
+	 * on another thread during the call. If it found the connection not
 	 * suspended, it would have no effect and the upload would stall.
 	 */
 	(void)apr_thread_mutex_lock(call->lock);
--- a/src/adapters/http_server.h
+++ b/src/adapters/http_server.h
@@ -50,7 +50,8 @@
 	bool (*takes_upload)(void *ctx, const jj_http_call_t *call);
 	/**
 	 * Receives bytes of an upload; returns how many it consumed. The rest
-	 * is passed again, after 0 only when jj_http_call_resume_upload was called.
+	 * is passed again, after 0 only when jj_http_call_resume_upload was
+	 * called.
 	 */
 	size_t (*on_upload)(
 	    void *ctx, jj_http_call_t *call, const char *data, size_t size);
--- a/src/adapters/neighbours.c
+++ b/src/adapters/neighbours.c
@@ -73,7 +73,10 @@
 	int wakeup;
 	apr_pool_t *pool;
 	apr_thread_t *thread;
-	/** Guards outgoing, partitioned, counts, too_large_logged_ms, stopping. */
+	/**
+	 * Guards outgoing, partitioned, counts, too_large_logged_ms and
+	 * stopping.
+	 */
 	apr_thread_mutex_t *lock;
 	STAILQ_HEAD(, outgoing) outgoing;
 	GHashTable *partitioned; /**< names of VMs, for failure tests */
@@ -195,7 +198,9 @@
 	was_empty = STAILQ_EMPTY(&neighbours->outgoing);
 	STAILQ_INSERT_TAIL(&neighbours->outgoing, outgoing, link);
 	(void)apr_thread_mutex_unlock(neighbours->lock);
-	/* Messages to dozens of VMs are posted in a row: wake the thread once. */
+	/*
+	 * Messages to dozens of VMs are posted in a row: wake the thread once.
+	 */
 	if (was_empty)
 		(void)eventfd_write(neighbours->wakeup, 1);
 }
--- a/src/core/batch.h
+++ b/src/core/batch.h
@@ -43,7 +43,7 @@
 	JJ_ITEM_DONE, /**< answered; body and status are the response */
 	JJ_ITEM_REFUSED, /**< permanently refused; recorded as failed */
 	JJ_ITEM_NOT_RUN, /**< verifiably not run; may be retried */
-	JJ_ITEM_OUTCOME_UNKNOWN, /**< may have run; retried only if idempotent */
+	JJ_ITEM_OUTCOME_UNKNOWN, /**< may have run; idempotent: retried */
 	JJ_ITEM_WITHDRAWN, /**< cancelled in favour of online requests; retried
 				without counting as an attempt */
 	JJ_ITEM_POISON, /**< crashes backend servers; recorded as failed */
--- a/src/core/batch_chunk.h
+++ b/src/core/batch_chunk.h
@@ -14,7 +14,7 @@
 
 /** Phases of a chunk; each but RUN makes one platform call. */
 typedef enum {
-	JJ_PHASE_READ_RECORD, /**< read another's record: may it be taken over? */
+	JJ_PHASE_READ_RECORD, /**< may another's record be taken over? */
 	JJ_PHASE_CLAIM, /**< create or take over the record */
 	JJ_PHASE_CHECK_CLAIM, /**< claim conflicted: read whose record it is */
 	JJ_PHASE_READ_OUT, /**< did the previous holder publish? */
@@ -26,7 +26,7 @@
 	JJ_PHASE_PUBLISH, /**< create the out object */
 	JJ_PHASE_CHECK_OUT, /**< publish conflicted: read the out object */
 	JJ_PHASE_FINISH, /**< mark the record as done */
-	JJ_PHASE_DROPPED, /**< no longer held; removed at the end of the round */
+	JJ_PHASE_DROPPED, /**< not held; removed at the round's end */
 } jj_chunk_phase_t;
 
 typedef enum {
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -52,7 +52,7 @@
 	JJ_EVENT_PLATFORM, /**< the result of a platform call of this core */
 	JJ_EVENT_REQUEST, /**< from a caller, or a batch item */
 	JJ_EVENT_BACKEND, /**< progress of a request at a backend server */
-	JJ_EVENT_CALLER_DISCONNECTED, /**< the caller of a request has disconnected */
+	JJ_EVENT_CALLER_DISCONNECTED, /**< of a request */
 	JJ_EVENT_CRASH, /**< the process of a backend server crashed */
 	JJ_EVENT_SERVER, /**< a backend server reported its state */
 	JJ_EVENT_REPORT, /**< a backend server's load report */
--- a/src/core/crash_history.h
+++ b/src/core/crash_history.h
@@ -22,8 +22,8 @@
 void jj_crash_history_send_to_arrivals(const jj_quarantine_t *quarantine,
     jj_member_t *member, jj_ms_t now, jj_actions_t *out);
 /**
- * Handles a message of kind JJ_MESSAGE_CRASH_HISTORY and answers it when requested,
- * also with an empty list: the other VM may wait for it.
+ * Handles a message of kind JJ_MESSAGE_CRASH_HISTORY and answers it when
+ * requested, also with an empty list: the other VM may wait for it.
  * @return true when it contained a crash that was not known here.
  */
 bool jj_crash_history_take(jj_quarantine_t *quarantine,
--- a/src/core/dispatch.h
+++ b/src/core/dispatch.h
@@ -44,7 +44,7 @@
 /** What happened to a request at its server. */
 typedef enum {
 	JJ_BACKEND_NOT_SENT, /**< no byte can have reached the server */
-	JJ_BACKEND_REFUSED, /**< 429 or 503 that proves that the request did not start */
+	JJ_BACKEND_REFUSED, /**< 429 or 503: verifiably not started */
 	JJ_BACKEND_LEAVING, /**< refused because the server is shutting down */
 	JJ_BACKEND_FIRST, /**< first token, or the head of an answer */
 	JJ_BACKEND_TOKENS, /**< `tokens` more tokens */
--- a/src/core/dispatch_headroom.h
+++ b/src/core/dispatch_headroom.h
@@ -44,8 +44,8 @@
 				     requests */
 	jj_ms_t queue_report_ms; /**< snapshot time of the last of these
 				      reports */
-	uint32_t queue_running
-	    [JJ_QUEUE_REPORTS]; /**< running requests in the last of these reports */
+	/** Requests that run, in the last of these reports. */
+	uint32_t queue_running[JJ_QUEUE_REPORTS];
 	double prefill_ms; /**< measured prefill time of a batch item */
 } jj_headroom_t;
 
--- a/src/core/intake.h
+++ b/src/core/intake.h
@@ -59,7 +59,7 @@
 	JJ_INTAKE_OPEN, /**< under way */
 	JJ_INTAKE_DONE, /**< durable: the manifest is written */
 	JJ_INTAKE_INVALID, /**< invalid file; see jj_intake_detail */
-	JJ_INTAKE_FAILED, /**< not stored by the platform: 503, may be retried */
+	JJ_INTAKE_FAILED, /**< platform can't store it: 503, retry */
 } jj_intake_state_t;
 
 jj_intake_state_t jj_intake_state(const jj_intake_t *intake);
--- a/src/core/quarantine.h
+++ b/src/core/quarantine.h
@@ -24,7 +24,7 @@
 
 typedef enum {
 	JJ_QUARANTINE_CLEAN,
-	JJ_QUARANTINE_SUSPECT, /**< must not share a server with another suspect */
+	JJ_QUARANTINE_SUSPECT, /**< one suspect per server at a time */
 	JJ_QUARANTINE_REFUSED,
 } jj_quarantine_verdict_t;
 
--- a/src/daemon/main.c
+++ b/src/daemon/main.c
@@ -194,7 +194,10 @@
 	while (jj_monotonic_now() < deadline_ms &&
 	    (!jj_gateway_node_is_idle(node) ||
 		jj_monotonic_now() < stop_begin_ms + settings->stop.least_ms)) {
-		/* The balancer had time to remove this VM: refuse late requests. */
+		/*
+		 * The balancer had time to remove this VM: refuse late
+		 * requests.
+		 */
 		if (jj_monotonic_now() >=
 		    stop_begin_ms + settings->stop.least_ms)
 			jj_gateway_node_reject_requests(node);
--- a/src/daemon/node.h
+++ b/src/daemon/node.h
@@ -40,7 +40,9 @@
 typedef struct jj_pending {
 	uint64_t operation;
 	jj_http_call_t *call;
-	/** Answers the call; runs on a loop's or the platform client's thread. */
+	/**
+	 * Answers the call; runs on a loop's or the platform client's thread.
+	 */
 	void (*answer)(jj_node_t *node, struct jj_pending *pending, int status,
 	    jj_ms_t retry_after_ms, const jj_bytes_t *body);
 	void *detail; /**< data of the answer function */
@@ -92,7 +94,9 @@
 	atomic_bool batch_idle;
 	atomic_bool ready; /**< a configuration was received */
 	GHashTable *hops; /**< spans by call; only for the control loop */
-	/** Batch shares last sent to the batch loop; only for the control loop. */
+	/**
+	 * Batch shares last sent to the batch loop; only for the control loop.
+	 */
 	jj_batch_share_t reported_shares[JJ_NODE_SERVICES_MAX];
 	uint32_t reported_share_count;
 	/** Batch shares last received; only for the batch loop. */
--- a/src/daemon/node_results.c
+++ b/src/daemon/node_results.c
@@ -129,7 +129,7 @@
 		end_reader(node, reader, true);
 		return;
 	}
-	/* Under the lock, as on_writable may run on another thread meanwhile. */
+	/* Under the lock: on_writable may run on another thread meanwhile. */
 	(void)apr_thread_mutex_lock(node->results_lock);
 	reader->waiting = true;
 	writable = jj_http_call_is_writable(reader->call);
@@ -149,7 +149,7 @@
 	jj_http_call_end_stream(call, broken);
 }
 
-/** Locks, as on_disconnect or on_writable may run on another thread meanwhile. */
+/** Locks: on_disconnect or on_writable may run on another thread meanwhile. */
 static void
 free_reader(jj_node_t *node, reader_t *reader)
 {
--- a/src/daemon/relay.c
+++ b/src/daemon/relay.c
@@ -29,7 +29,9 @@
 	uint64_t request;
 	uint32_t attempt;
 	jj_name_t server;
-	/** Non-idempotent; the status alone does not prove that it ran or not. */
+	/**
+	 * Non-idempotent; the status alone does not prove that it ran or not.
+	 */
 	bool at_most_once;
 	bool streams; /**< the answer is a stream of server-sent events */
 	bool assembles; /**< the stream is assembled into one answer */
--- a/tests/adapters/loop_test.cc
+++ b/tests/adapters/loop_test.cc
@@ -92,7 +92,7 @@
 				if (ran.wait_for(LIMIT) !=
 				    std::future_status::ready)
 					all_ran = false;
-				/* It may still run: keep its memory until then. */
+				/* It may still run: keep its memory. */
 				ran.wait();
 			}
 		});
--- a/tests/core/job_test.cc
+++ b/tests/core/job_test.cc
@@ -201,7 +201,7 @@
 			count += object.first.find("active/") == 0;
 		return count;
 	}
-	/** Completes the job as a batch worker does; false: it wasn't running. */
+	/** Completes the job as a batch worker does; false: not running. */
 	bool
 	finish(const std::string &id)
 	{
--- a/tests/figures/figures.h
+++ b/tests/figures/figures.h
@@ -105,7 +105,7 @@
 long count_batch_records(const standin_t &engine);
 /* Batch streams that an engine completed within [from_ms, until_ms). */
 long count_batch_done(const standin_t &engine, long from_ms, long until_ms);
-/* When the engine last admitted a stream, on the clock of now_ms(); 0: never. */
+/* When the engine last admitted a stream, on now_ms()'s clock; 0: never. */
 long find_last_start(const standin_t &engine);
 
 /* Wall-clock time (ms) and value of a field, of each log line of an event. */
--- a/tests/figures/leave_figure.cc
+++ b/tests/figures/leave_figure.cc
@@ -31,8 +31,8 @@
 	return false;
 }
 
-/* Number of VMs in the server's domain that would send it requests. VMs of other
- * domains learn that it leaves only when they send it a request. */
+/* Number of VMs in the server's domain that would send it requests. VMs of
+ * other domains learn that it leaves only when they send it a request. */
 int
 count_sending_vms(const fleet_t &fleet, const standin_t &engine)
 {
@@ -88,7 +88,7 @@
 			standin_t &engine =
 			    fleet.engines[i % fleet.engines.size()];
 			leave(fleet, engine, listed, samples);
-			/* Its replacement: a new process at the same address. */
+			/* Its replacement: a new process, same address. */
 			engine.process->kill();
 			engine.start();
 			fleet.list_leaving({});
--- a/tests/soak/batch_traffic.cc
+++ b/tests/soak/batch_traffic.cc
@@ -185,7 +185,7 @@
 		harness::reply_t reply = send_to_vm(caller, vm, request);
 		job.id = reply.text("id");
 		if (reply.status == 200 && reply.code == CURLE_OK) {
-			/* As if the client had lost the answer: submit again. */
+			/* As if the client had lost the answer: resubmit. */
 			if (!job.key.empty() && caller.chance(25)) {
 				const harness::vm_t &other = caller.pick_vm();
 				request.url = other.callers + "/v1/batches";
--- a/tests/system/harness.h
+++ b/tests/system/harness.h
@@ -32,7 +32,7 @@
 
 using strings_t = std::vector<std::string>;
 
-/* A parsed JSON text, read by paths such as "request_counts.total" or "0.run". */
+/* A parsed JSON text, read by paths such as "request_counts.total", "0.run". */
 class json_view_t
 {
       public:
