--- a/src/core/dispatch.c
+++ b/src/core/dispatch.c
@@ -116,9 +116,9 @@
 	jj_service_queue_t *service;
 
 	/*
-	 * A late answer of an earlier attempt must not end a newer one (story
-	 * 18): only events of the newest attempt count, and only while it is in
-	 * flight.
+	 * A late answer of an earlier attempt must not end a newer one
+	 * (story 18): only events of the newest attempt count, and only while
+	 * it is in flight.
 	 */
 	if (entry == NULL || entry->state != JJ_ENTRY_IN_FLIGHT ||
 	    entry->attempt != event->attempt)
--- a/src/core/dispatch_resume.c
+++ b/src/core/dispatch_resume.c
@@ -6,8 +6,8 @@
  * a stream while the server is healthy. As the caller has received part of the
  * answer, the request cannot be sent to another server. The engine keeps the
  * stream, and a resume returns the rest of it. A resume never starts a new run:
- * an engine that has restarted, or does not know the stream, refuses it (story
- * 18), and the request is handled like any other broken one.
+ * an engine that has restarted, or does not know the stream, refuses it
+ * (story 18), and the request is handled like any other broken one.
  */
 #include "core/dispatch_state.h"
 
--- a/src/core/fleet.h
+++ b/src/core/fleet.h
@@ -6,7 +6,7 @@
  * itself (a refusal with a drain header, refused connections), the same
  * observed by neighbours, the platform's list, which lags and may be empty,
  * stale or wrong. A server missing from one list is taken as gone only after
- * several lists and some time; an empty list changes nothing.
+ * several lists and some time; an empty list changes nothing (story 30).
  */
 #ifndef JJ_CORE_FLEET_H
 #define JJ_CORE_FLEET_H
--- a/src/core/member.h
+++ b/src/core/member.h
@@ -166,10 +166,10 @@
 bool jj_member_is_speaker(const jj_member_t *member);
 /**
  * True when this process was paused: more than @p limit has passed since the
- * last tick. Messages that were queued meanwhile can't make it act on outdated
- * information: heartbeats count only with a fresh acknowledgement, leases are
- * checked before each operation, ledger messages carry epochs. The caller logs
- * the pause.
+ * last tick (a VM that resumes after a pause, story 31). Messages that were
+ * queued meanwhile can't make it act on outdated information: heartbeats count
+ * only with a fresh acknowledgement, leases are checked before each operation,
+ * ledger messages carry epochs. The caller logs the pause.
  */
 bool
 jj_member_was_paused(const jj_member_t *member, jj_ms_t now, jj_ms_t limit);
--- a/src/core/message.h
+++ b/src/core/message.h
@@ -252,7 +252,7 @@
 		struct {
 			uint64_t version;
 			jj_bytes_t document; /**< the stored object */
-		} config; /**< also CONFIG_ASK, without document */
+		} config; /**< also CONFIG_REQUEST, without document */
 		struct {
 			uint32_t count;
 			jj_load_t loads[JJ_MESSAGE_LOADS_MAX];
