--- a/src/core/platform_call.h
+++ b/src/core/platform_call.h
@@ -22,7 +22,7 @@
 	JJ_OWNER_INTAKE,
 	JJ_OWNER_GATEWAY,
 	JJ_OWNER_INLINE,
-	JJ_OWNER_BORROWED, /**< call for another VM, see core/gateway_borrow.c */
+	JJ_OWNER_BORROWED, /**< for another VM, see core/gateway_borrow.c */
 } jj_owner_t;
 
 typedef enum {
