--- a/src/core/dispatch.c
+++ b/src/core/dispatch.c
@@ -3,7 +3,7 @@
  * @brief Life cycle of a request from its acceptance to its end.
  *
  * A request is queued, in flight at one server, or gone. A request that is
- * given up is answered in the same step: an answer delayed until the deadline
+ * abandoned is answered in the same step: an answer delayed until the deadline
  * would hide the overload from the caller.
  */
 #include <stdlib.h>
--- a/src/core/dispatch.h
+++ b/src/core/dispatch.h
@@ -6,8 +6,8 @@
  * server are started by one VM only, the server's steward, which rendezvous
  * hashing picks among the live VMs of the domain. The steward learns the
  * server's headroom from measured latencies and from the neighbours' in-flight
- * counts, keeps batch within it, and cancels batch streams as soon as online
- * load rises.
+ * counts, keeps batch within it, and cancels batch items as soon as online load
+ * rises.
  */
 #ifndef JJ_CORE_DISPATCH_H
 #define JJ_CORE_DISPATCH_H
@@ -57,7 +57,7 @@
 	JJ_BACKEND_FAILED, /**< an error after the request may have started */
 	JJ_BACKEND_BROKEN, /**< the connection broke after sending */
 	JJ_BACKEND_TIMEOUT,
-	JJ_BACKEND_CANCELLED, /**< the attempt was cancelled at our request */
+	JJ_BACKEND_CANCELLED, /**< this VM cancelled the attempt */
 } jj_backend_kind_t;
 
 typedef struct {
@@ -100,9 +100,9 @@
 /**
  * Accepts a request. The result is JJ_ACTION_BACKEND_START, now or later and
  * possibly several times, one attempt at a time, and JJ_ACTION_ANSWER when the
- * request is given up. An attempt with resume_from set continues the stream of
+ * request is abandoned. An attempt with resume_from set continues the stream of
  * the previous attempt at the same server, behind the tokens that the relay
- * already has. A batch request that is withdrawn gets JJ_ACTION_BACKEND_CANCEL
+ * already has. A batch item that is withdrawn gets JJ_ACTION_BACKEND_CANCEL
  * and then JJ_ACTION_ANSWER with reason JJ_FAILURE_OVERLOADED.
  */
 void jj_dispatch_begin(jj_dispatch_t *dispatch, const jj_request_t *request,
--- a/src/core/dispatch_headroom.h
+++ b/src/core/dispatch_headroom.h
@@ -4,10 +4,10 @@
  * down.
  *
  * A server's load report lags, so it cannot show whether one more batch item
- * hurts. The time between two tokens of our own streams can: it is the engine's
- * step time, measured without lag. The limit applies to all requests at the
- * server, not to batch alone: when an online request arrives, batch has to
- * release one slot at once, without a new measurement.
+ * hurts. The token gap, the time between two tokens of this VM's streams, can:
+ * it is the engine's step time, measured without lag. The limit applies to all
+ * requests at the server, not to batch alone: when an online request arrives,
+ * batch has to release one slot at once, without a new measurement.
  */
 #ifndef JJ_CORE_DISPATCH_HEADROOM_H
 #define JJ_CORE_DISPATCH_HEADROOM_H
--- a/src/core/dispatch_queue.h
+++ b/src/core/dispatch_queue.h
@@ -109,7 +109,7 @@
 /** Charges a request that is sent to its team's virtual time. */
 void
 jj_service_queue_charge(jj_service_queue_t *service, const jj_entry_t *entry);
-/** The request to give up when the queue exceeds its limit. */
+/** The request to abandon when the queue exceeds its limit. */
 jj_entry_t *jj_service_queue_overflow(const jj_service_queue_t *service);
 /** Records an online request that completed. */
 void jj_service_queue_note_finished(
--- a/src/core/dispatch_send.c
+++ b/src/core/dispatch_send.c
@@ -163,7 +163,7 @@
 }
 
 /*
- * Returns false when the request stays queued; true when it was sent, given up
+ * Returns false when the request stays queued; true when it was sent, abandoned
  * or moved to the suspects.
  */
 static bool
--- a/src/core/dispatch_server.h
+++ b/src/core/dispatch_server.h
@@ -49,8 +49,8 @@
 	uint64_t hash; /**< hash of the name; varies equal scores */
 	bool local; /**< in this VM's failure domain */
 	bool listed; /**< the fleet has the server */
-	jj_name_t steward_name; /**< the VM that decides on batch there */
-	bool steward; /**< this VM decides on batch there */
+	jj_name_t steward_name; /**< its steward: starts batch there */
+	bool steward; /**< this VM is its steward */
 	bool up; /**< accepted new requests at the last refresh */
 	uint32_t online; /**< of this VM, in flight */
 	uint32_t batch; /**< of this VM, in flight */
--- a/src/core/dispatch_state.h
+++ b/src/core/dispatch_state.h
@@ -107,7 +107,7 @@
  */
 void jj_dispatch_end_probe_wait(
     jj_dispatch_t *dispatch, jj_server_view_t *view, bool crashed, jj_ms_t now);
-/** Handles a failed attempt: retries the request or gives it up. */
+/** Handles a failed attempt: retries the request or abandons it. */
 void jj_dispatch_take_failure(jj_dispatch_t *dispatch, jj_entry_t *entry,
     const jj_backend_event_t *event, jj_ms_t now, jj_actions_t *out);
 /**
@@ -137,7 +137,7 @@
     jj_server_state_t state, uint64_t boot, jj_ms_t now, jj_actions_t *out);
 /** Updates services and views from configuration, fleet and membership. */
 void jj_dispatch_refresh(jj_dispatch_t *dispatch, jj_ms_t now);
-/** Gives up requests that cannot meet their deadline. */
+/** Abandons requests that cannot meet their deadline. */
 void jj_dispatch_check_deadlines(
     jj_dispatch_t *dispatch, jj_ms_t now, jj_actions_t *out);
 /** Adjusts the limits and cancels batch items that exceed them. */
--- a/src/core/gateway.c
+++ b/src/core/gateway.c
@@ -27,7 +27,7 @@
  * Fractions of news_ms, the time within which each VM has to know a change. A
  * relay polls RELAY_POLLS_PER_PERIOD times in it. A relay that sends nothing
  * for RELAY_FRESH_TENTHS tenths of it is no longer relied on; the rest is long
- * enough for a poll of one's own.
+ * enough for a VM's own poll.
  */
 #define RELAY_POLLS_PER_PERIOD 3
 #define RELAY_FRESH_TENTHS 7
--- a/src/core/gateway.h
+++ b/src/core/gateway.h
@@ -58,7 +58,7 @@
 	char config_prefix[64];
 	char config_key[64]; /**< key of the configuration in force */
 	char servers_prefix[64];
-	char retire_prefix[64]; /**< orders to empty a VM; "": none */
+	char retire_prefix[64]; /**< of orders to drain a VM; "": none */
 	bool serves; /**< false: this VM accepts and runs no requests */
 	uint64_t seed;
 	jj_ms_t news_ms; /**< time within which each VM has to know a change */
--- a/src/core/gateway_state.h
+++ b/src/core/gateway_state.h
@@ -193,7 +193,7 @@
 	jj_ms_t platform_unreachable_ms;
 	/** when it last answered again after an outage, 0: no outage yet */
 	jj_ms_t platform_regained_ms;
-	jj_name_t lender; /**< VM that is asked to make calls */
+	jj_name_t lender; /**< VM requested to make this VM's calls */
 	bool lender_unavailable; /**< its last result was a failure */
 	bool lender_answered; /**< its last result was an answer */
 	jj_ms_t borrow_pause_until_ms; /**< no call is borrowed before */
--- a/src/core/inline_job.h
+++ b/src/core/inline_job.h
@@ -54,7 +54,7 @@
 /** One result. */
 typedef struct {
 	char *id; /**< id of the item; owned */
-	bool done; /**< false: the item was given up */
+	bool done; /**< false: the item was abandoned */
 	jj_bytes_t text; /**< output, if done; owned */
 } jj_inline_result_t;
 
--- a/src/core/inline_run.c
+++ b/src/core/inline_run.c
@@ -291,7 +291,7 @@
 	}
 	/*
 	 * The store would refuse this result each time, and with it all results
-	 * behind it. The run did not fail, so the item is given up only at the
+	 * behind it. The run did not fail, so the item is abandoned only at the
 	 * end of its retention.
 	 */
 	if (end == JJ_INLINE_DONE &&
--- a/src/core/ledger.h
+++ b/src/core/ledger.h
@@ -9,8 +9,9 @@
  *
  * Why a call runs at most once:
  *  - A home runs a call only after the witness of the same epoch recorded the
- *    intent. A witness that has adopted a newer epoch refuses the older one, so
- *    a deposed home that resumes after a pause gets no acknowledgement.
+ *    intent (the home's message that it is about to run the call). A witness
+ *    that has adopted a newer epoch refuses the older one, so a deposed home
+ *    that resumes after a pause gets no acknowledgement.
  *  - Only a VM with the slot's complete history opens an epoch: the home, or a
  *    witness that was synced. So the next home has a record of each key that
  *    ran, and turns an unfinished intent into "unknown".
@@ -24,12 +25,12 @@
  *    declares it lost) the slot runs no key without a record until the
  *    retention time has passed.
  *
- * NOT_RUN is answered only when no VM can have run the key: by a home whose
- * attempt the witness has acknowledged, or by a home without a witness. All
- * other refusals are NO_HISTORY (this attempt was not run, the outcome of
- * earlier ones is unknown) with a time after which to retry: a home without an
- * acknowledgement cannot tell whether it was deposed and its successor ran the
- * key.
+ * JJ_CALL_NOT_RUN is answered only when no VM can have run the key: by a home
+ * whose attempt the witness has acknowledged, or by a home without a witness.
+ * All other refusals are JJ_CALL_NO_HISTORY (this attempt was not run, the
+ * outcome of earlier ones is unknown) with a time after which to retry: a home
+ * without an acknowledgement cannot tell whether it was deposed and its
+ * successor ran the key.
  */
 #ifndef JJ_CORE_LEDGER_H
 #define JJ_CORE_LEDGER_H
@@ -37,9 +38,9 @@
 #include "core/action.h"
 #include "core/member.h"
 
-/** Slots per failure domain. */
+/** Key slots per failure domain. */
 #define JJ_LEDGER_SLOTS 64
-/** Maximum live VMs of a failure domain that slots are assigned to. */
+/** Maximum live VMs of a failure domain that key slots are assigned to. */
 #define JJ_LEDGER_VMS_MAX 512
 
 typedef struct {
@@ -82,7 +83,7 @@
     const jj_ledger_settings_t *settings, const jj_ledger_port_t *port);
 void jj_ledger_destroy(jj_ledger_t *ledger);
 
-/** The slot of a key. */
+/** The key slot of an idempotency key. */
 uint32_t jj_ledger_slot(const jj_hash_t *key);
 /** Version of the slot table that this VM has adopted. */
 uint64_t jj_ledger_version(const jj_ledger_t *ledger);
@@ -125,10 +126,13 @@
 void jj_ledger_end(jj_ledger_t *ledger, uint64_t run, jj_call_outcome_t outcome,
     int status, const jj_bytes_t *body, jj_ms_t retry_after_ms, jj_ms_t now,
     jj_actions_t *out);
-/** INTENT, INTENT_ACK, RESOLVE, SYNC, SYNC_ACK, SLOTS from an accepted VM. */
+/**
+ * Handles a message of kind JJ_MESSAGE_INTENT, INTENT_ACK, RESOLVE, SYNC,
+ * SYNC_ACK or SLOTS that jj_member_accept() has accepted.
+ */
 void jj_ledger_take_message(jj_ledger_t *ledger, const jj_message_t *message,
     jj_ms_t now, jj_actions_t *out);
-/** A platform result with owner JJ_OWNER_LEDGER. */
+/** Handles the result of a platform call of owner JJ_OWNER_LEDGER. */
 void jj_ledger_take_result(jj_ledger_t *ledger,
     const jj_platform_result_t *result, jj_ms_t now, jj_actions_t *out);
 /**
--- a/src/core/member.h
+++ b/src/core/member.h
@@ -15,9 +15,9 @@
  * process sent recently (by its own clock); otherwise a queue of old
  * heartbeats, delivered after a reconnect, would make a failed VM live again. A
  * heartbeat without such an acknowledgement is answered by a probe instead; its
- * echo counts. A VM that is live stays live while its heartbeats acknowledge
- * newer and newer messages, however long they are in transit
- * (JJ_MEMBER_ACK_AGE_FACTOR).
+ * echo counts. A heartbeat or an echo that counts is called a sign of life. A
+ * VM that is live stays live while its heartbeats acknowledge newer and newer
+ * messages, however long they are in transit (JJ_MEMBER_ACK_AGE_FACTOR).
  *
  * Missing heartbeats make a VM a suspect: it gets no new work. They do not
  * prove that it failed: its work is taken over only after lost_ms without a
@@ -32,7 +32,7 @@
  * A heartbeat of a live VM counts while the message that it newly acknowledges
  * was sent at most this many times suspect_ms ago: one suspect_ms each for the
  * way there, the way back and the processing time of a loaded VM. A VM that
- * answers later than that is of no use, and is suspected.
+ * answers later than that is too slow to be given work, and is suspected.
  */
 #define JJ_MEMBER_ACK_AGE_FACTOR 3
 
@@ -132,8 +132,9 @@
 bool jj_member_is_live(const jj_member_t *member, const jj_name_t *name);
 /**
  * True when a VM is taken as failed: not known, or no sign of life for lost_ms.
- * @param since it was live then by another source, 0: no such source; the time
- * without a sign of life counts from the later of this and the last one.
+ * @param since when another source last showed it live, 0: no such source. The
+ * time without a sign of life counts from this or from the last sign of life,
+ * whichever is later.
  */
 bool jj_member_is_lost(const jj_member_t *member, const jj_name_t *name,
     jj_ms_t since, jj_ms_t now);
--- a/src/core/message.h
+++ b/src/core/message.h
@@ -63,7 +63,8 @@
 	/** crash history: requests known to have crashed servers */
 	JJ_MESSAGE_CRASH_HISTORY,
 	/**
-	 * asks the receiver to call the platform, which the sender cannot reach
+	 * requests a platform call by the receiver, as the sender cannot reach
+	 * the platform
 	 */
 	JJ_MESSAGE_BORROW,
 	JJ_MESSAGE_BORROW_RESULT, /**< the result of such a call */
--- a/src/core/slots.h
+++ b/src/core/slots.h
@@ -250,8 +250,9 @@
 uint32_t jj_slots_list_loads(
     const jj_slots_t *slots, jj_load_t *loads, uint32_t max_count);
 /**
- * Chooses the neighbour with most batch items there, to be asked to cancel one,
- * and counts one item less for it; NULL when no neighbour has any.
+ * Chooses the neighbour with most batch items there, which the caller requests
+ * to cancel one, and counts one item less for it; NULL when no neighbour has
+ * any.
  */
 const jj_name_t *jj_slots_choose_vm_to_yield(jj_slot_server_t *server);
 
--- a/src/ctl/ctl_http.h
+++ b/src/ctl/ctl_http.h
@@ -2,9 +2,9 @@
  * @file ctl_http.h
  * @brief Blocking HTTP client on libcurl's easy interface.
  *
- * Each request uses a new connection: libcurl may resend a request without
- * being asked when a reused connection fails, which could run a non-idempotent
- * call twice.
+ * Each request uses a new connection: when a reused connection fails, libcurl
+ * may resend the request unrequested, which could run a non-idempotent call
+ * twice.
  */
 #ifndef JJ_CTL_CTL_HTTP_H
 #define JJ_CTL_CTL_HTTP_H
--- a/src/daemon/node_batch.c
+++ b/src/daemon/node_batch.c
@@ -394,7 +394,7 @@
 	jj_node_post_request(node, &request, NULL, "", NULL, "");
 }
 
-/** Asks the server for a streamed response if the body allows it. */
+/** Requests a streamed response of the server if the body allows it. */
 static void
 request_as_stream(jj_exchange_t *exchange)
 {
--- a/src/daemon/relay.h
+++ b/src/daemon/relay.h
@@ -35,7 +35,7 @@
 	jj_exchange_kind_t kind;
 	jj_http_call_t *call; /**< the caller's, NULL for other kinds */
 	bool is_model;
-	bool streams; /**< the caller asked for a stream */
+	bool streams; /**< the caller requested a stream */
 	bool idempotent; /**< set when an attempt is started */
 	jj_ms_t deadline_ms; /**< by the monotonic clock, 0: none */
 	jj_name_t service;
