--- a/src/core/calls.h
+++ b/src/core/calls.h
@@ -2,6 +2,8 @@
  * @file calls.h
  * @brief Forwards non-idempotent calls from the entry VM to their home.
  *
+ * The entry VM of a call is the one that accepted it from the caller.
+ *
  * A key has one home failure domain, fixed by the key or by the service's list
  * of domains, never by which VMs are alive: two domains that cannot reach each
  * other must not both run it. Within that domain the ledger names the home VM.
