--- a/src/core/dispatch.c
+++ b/src/core/dispatch.c
@@ -3,7 +3,7 @@
  * @brief Life cycle of a request from its acceptance to its end.
  *
  * A request is queued, in flight at one server, or gone. A request that is
- * given up is answered in the same step: an answer delayed until the deadline
+ * abandoned is answered in the same step: an answer delayed until the deadline
  * would hide the overload from the caller.
  */
 #include <stdlib.h>
@@ -116,9 +116,9 @@
 	jj_service_queue_t *service;
 
 	/*
-	 * A late answer of an earlier attempt must not end a newer one (story
-	 * 18): only events of the newest attempt count, and only while it is in
-	 * flight.
+	 * A late answer of an earlier attempt must not end a newer one
+	 * (story 18): only events of the newest attempt count, and only while
+	 * it is in flight.
 	 */
 	if (entry == NULL || entry->state != JJ_ENTRY_IN_FLIGHT ||
 	    entry->attempt != event->attempt)
--- a/src/core/dispatch_headroom.h
+++ b/src/core/dispatch_headroom.h
@@ -4,10 +4,10 @@
  * down.
  *
  * A server's load report lags, so it cannot show whether one more batch item
- * hurts. The time between two tokens of our own streams can: it is the engine's
- * step time, measured without lag. The limit applies to all requests at the
- * server, not to batch alone: when an online request arrives, batch has to
- * release one slot at once, without a new measurement.
+ * hurts. The token gap, the time between two tokens of this VM's streams, can:
+ * it is the engine's step time, measured without lag. The limit applies to all
+ * requests at the server, not to batch alone: when an online request arrives,
+ * batch has to release one slot at once, without a new measurement.
  */
 #ifndef JJ_CORE_DISPATCH_HEADROOM_H
 #define JJ_CORE_DISPATCH_HEADROOM_H
@@ -44,8 +44,8 @@
 				     requests */
 	jj_ms_t queue_report_ms; /**< snapshot time of the last of these
 				      reports */
-	uint32_t queue_running
-	    [JJ_QUEUE_REPORTS]; /**< running requests in the last of these reports */
+	/** Requests that run, in the last of these reports. */
+	uint32_t queue_running[JJ_QUEUE_REPORTS];
 	double prefill_ms; /**< measured prefill time of a batch item */
 } jj_headroom_t;
 
